--- a/src/platform/exchanges.cpp
+++ b/src/platform/exchanges.cpp
@@ -40,7 +40,7 @@
 
 struct Exchanges::Exchange {
   explicit Exchange(core::Runtime* runtime) : again(runtime), detector({}), check_announced(runtime) {}
-  bool InDoubt() const { return detector.doubt_since() != 0; }
+  bool InDoubt() const { return detector.suspected_since() != 0; }
   ExchangeId id = 0;
   Target target;
   TimeUs since_us = 0;
@@ -83,7 +83,7 @@
     heard_at = owner_->runtime_->Now();
     exchange->heard_at = heard_at;
     const bool was_in_doubt = exchange->InDoubt();
-    exchange->detector.OnOctets(heard_at, opened_at);
+    exchange->detector.OnDataReceived(heard_at, opened_at);
     owner_->LogDoubt(*exchange, was_in_doubt);
     // Taking a line may end other connections, never the one it came on.
     if (reader.Feed(bytes, [this](std::string_view line) { return owner_->Take(this, line); })) return;
@@ -225,7 +225,7 @@
       exchanges_[id] = std::make_unique<Exchange>(runtime_);
       exchanges_[id]->id = id;
       exchanges_[id]->heard_at = runtime_->Now();
-      exchanges_[id]->detector.SettleBy(settle_by_);
+      exchanges_[id]->detector.SetDecisionDeadline(settle_by_);
     }
     Exchange& e = *exchanges_.at(id);
     if (Superseded(id, target, since)) {
@@ -324,23 +324,23 @@
 
 void Exchanges::SettleBy(TimeUs at) {
   settle_by_ = at;
-  for (const auto& [id, exchange] : exchanges_) exchange->detector.SettleBy(at);
+  for (const auto& [id, exchange] : exchanges_) exchange->detector.SetDecisionDeadline(at);
 }
 
 void Exchanges::WatchLiveness() {
-  liveness_.Start(policy::kLivenessStep, [this] {
+  liveness_.Start(policy::kLivenessCheckInterval, [this] {
     for (const auto& [id, exchange] : exchanges_) {
       if (exchange->standing.empty() || exchange->retired) continue;
       policy::FailureDetector& detector = exchange->detector;
       const bool was_in_doubt = exchange->InDoubt();
-      if (detector.denied() && exchange->circuits_used.value_or(0) >= exchange->standing.size())
-        detector.OnCallsCounted(runtime_->Now());
+      if (detector.HasPendingDenial() && exchange->circuits_used.value_or(0) >= exchange->standing.size())
+        detector.OnAllCallsAccountedFor(runtime_->Now());
       const bool holder_open = std::any_of(exchange->links.begin(), exchange->links.end(), [&](const auto& link) {
-        return link->open && detector.IsOfHolder(link->opened_at);
+        return link->open && detector.IsHolderConnection(link->opened_at);
       });
-      const policy::LivenessAction action = detector.Next(runtime_->Now(), settings_.may_probe, holder_open);
+      const policy::LivenessAction action = detector.NextAction(runtime_->Now(), settings_.may_probe, holder_open);
       LogDoubt(*exchange, was_in_doubt);
-      if (detector.OutOfReach(runtime_->Now())) core_->OnUnreachable(id);
+      if (detector.IsUnreachable(runtime_->Now())) core_->OnUnreachable(id);
       Act(exchange.get(), action);
     }
     WatchLiveness();
@@ -356,16 +356,16 @@
       ++counters_.liveness_connects;
       OpenLink(exchange, Purpose::kSignOfLife);
       return;
-    case policy::LivenessAction::kProbe:
+    case policy::LivenessAction::kProbeHolder:
       return ProbeForLife(LeastRecentlyTested(*exchange));
     case policy::LivenessAction::kProbeNewest:
       return ProbeForLife(OpenOne(*exchange));
     case policy::LivenessAction::kGiveUpSilent:
       ++counters_.given_up_silent;
       CutAll(exchange, now + 1, "gives no sign of life", Remains::kMayStand);
-      return exchange->detector.OnGivenUp();
+      return exchange->detector.OnCallsGivenUp();
     case policy::LivenessAction::kGiveUpReplaced:
-      return exchange->detector.denied()
+      return exchange->detector.HasPendingDenial()
                  ? GiveUpReplaced(exchange, "its circuits are free, it does not know the calls", Remains::kMayStand)
                  : GiveUpReplaced(exchange, "its process may have been replaced", Remains::kMayStand);
   }
@@ -374,7 +374,7 @@
 Exchanges::Link* Exchanges::LeastRecentlyTested(const Exchange& exchange) {
   Link* best = nullptr;
   for (const auto& link : exchange.links) {
-    if (!link->open || !exchange.detector.IsOfHolder(link->opened_at)) continue;
+    if (!link->open || !exchange.detector.IsHolderConnection(link->opened_at)) continue;
     if (best == nullptr || link->tested_at < best->tested_at) best = link.get();
   }
   return best;
@@ -388,14 +388,14 @@
 }
 
 policy::CircuitUse Exchanges::CircuitUseOf(const Exchange& exchange, TimeUs in_question) const {
-  policy::CircuitUse use{.used = *exchange.circuits_used, .standing = exchange.standing.size()};
+  policy::CircuitUse use{.used = *exchange.circuits_used, .established = exchange.standing.size()};
   const TimeUs now = runtime_->Now();
   for (const std::string& id : exchange.standing) {
     const Leg& leg = legs_.at(id);
     if (leg.StoodBefore(in_question)) {
-      ++use.standing_before;
+      ++use.in_question;
       use.announced += leg.announced ? 1 : 0;
-    } else if (now < leg.stood_at + policy::kCallSettles) {
+    } else if (now < leg.stood_at + policy::kCallSettlingTime) {
       ++use.unsettled;
     }
   }
@@ -409,9 +409,9 @@
   policy::FailureDetector& detector = exchange->detector;
   const bool was_in_doubt = exchange->InDoubt();
   // Most reports come while nothing is the matter: they are not looked at call by call.
-  if (!was_in_doubt && !detector.denied() && *exchange->circuits_used >= exchange->standing.size()) return;
-  const policy::CircuitUse use = CircuitUseOf(*exchange, detector.CallsInQuestion(link.opened_at));
-  if (detector.OnCircuits(runtime_->Now(), link.opened_at, use))
+  if (!was_in_doubt && !detector.HasPendingDenial() && *exchange->circuits_used >= exchange->standing.size()) return;
+  const policy::CircuitUse use = CircuitUseOf(*exchange, detector.CallsInQuestionBefore(link.opened_at));
+  if (detector.OnCircuitReport(runtime_->Now(), link.opened_at, use))
     return GiveUpReplaced(exchange, "its process was replaced, as its circuits are free", Remains::kNothing);
   LogDoubt(*exchange, was_in_doubt);
 }
@@ -423,14 +423,14 @@
     if (legs_.at(id).StoodBefore(exchange->detector.give_up_before())) ids.push_back(id);
   }
   Cut(exchange, std::move(ids), why, remains);
-  exchange->detector.OnGivenUp();
+  exchange->detector.OnCallsGivenUp();
 }
 
 void Exchanges::CheckAnnounced(Exchange* exchange) {
   if (exchange->announced == 0 || !exchange->circuits_used) return;
-  if (!policy::DeniesMost({.used = *exchange->circuits_used,
-                           .standing = exchange->standing.size(),
-                           .standing_before = exchange->standing.size()}))
+  if (!policy::DeniesMostCalls({.used = *exchange->circuits_used,
+                                .established = exchange->standing.size(),
+                                .in_question = exchange->standing.size()}))
     return;
   std::vector<std::string> ids;
   for (const std::string& id : exchange->standing) {
@@ -467,7 +467,7 @@
   if (exchange->InDoubt()) return;
   std::vector<Link*> idle;
   for (const auto& link : exchange->links) {
-    if (detector.probed() && detector.IsOfHolder(link->opened_at)) continue;
+    if (detector.IsProbingHolder() && detector.IsHolderConnection(link->opened_at)) continue;
     if (link->open && link->set_ups.empty()) idle.push_back(link.get());
   }
   if (idle.size() <= kIdleKept) return;
@@ -475,7 +475,7 @@
   const auto stale = std::min_element(idle.begin(), idle.end() - 1, [](const Link* a, const Link* b) {
     return std::max(a->heard_at, a->opened_at) < std::max(b->heard_at, b->opened_at);
   });
-  if (runtime_->Now() >= std::max((*stale)->heard_at, (*stale)->opened_at) + policy::kSignOfLifeWithin)
+  if (runtime_->Now() >= std::max((*stale)->heard_at, (*stale)->opened_at) + policy::kLivenessConnectTimeout)
     EndLink(*stale, LinkEnd::kClosedHere);
 }
 
@@ -494,7 +494,7 @@
   link->number = ++last_link_number_;
   link->for_life = for_life;
   const TimeUs within =
-      for_life ? std::max(policy::kSignOfLifeWithin, settings_.connect_within_us) : settings_.connect_within_us;
+      for_life ? std::max(policy::kLivenessConnectTimeout, settings_.connect_within_us) : settings_.connect_within_us;
   link->stream = runtime_->Connect(exchange->target.address, within, link);
   return link;
 }
@@ -644,7 +644,7 @@
   legs_[id].announced = true;
   ++exchange->announced;
   NoteStanding(exchange, id);
-  if (OpenOne(*exchange) == nullptr) exchange->detector.OnUnconfirmedCall(runtime_->Now());
+  if (OpenOne(*exchange) == nullptr) exchange->detector.OnUnconfirmedCallAnnounced(runtime_->Now());
   if (!exchange->check_announced.Running())
     exchange->check_announced.Start(kAnnouncedTogether, [this, exchange] { CheckAnnounced(exchange); });
   KeepConnected(exchange);
@@ -743,9 +743,9 @@
   Exchange* const exchange = link->exchange;
   policy::FailureDetector& detector = exchange->detector;
   const bool was_in_doubt = exchange->InDoubt();
-  if (found->second.stands && (was_in_doubt || detector.denied()) &&
-      found->second.StoodBefore(detector.CallsInQuestion(link->opened_at))) {
-    detector.OnCallKnown(runtime_->Now(), found->second.announced ? 0 : found->second.stood_at);
+  if (found->second.stands && (was_in_doubt || detector.HasPendingDenial()) &&
+      found->second.StoodBefore(detector.CallsInQuestionBefore(link->opened_at))) {
+    detector.OnCallConfirmed(runtime_->Now(), found->second.announced ? 0 : found->second.stood_at);
     LogDoubt(*exchange, was_in_doubt);
   }
   const int cause = message.cause.value_or(kTemporaryFailure);
@@ -774,7 +774,7 @@
   ++counters_.gauges;
   const std::string* const load = message.Field("load");
   if (load == nullptr) return;
-  link->exchange->detector.OnReport(runtime_->Now());
+  link->exchange->detector.OnReportReceived(runtime_->Now());
   if (*load == link->exchange->told) return CheckCircuits(*link);
   const std::vector<float> figures = report_reader_.Figures(*load);
   link->exchange->told = *load;
@@ -795,7 +795,7 @@
   } else if (end == LinkEnd::kReset) {
     const policy::FailureDetector& detector = exchange->detector;
     const auto others = std::count_if(exchange->links.begin(), exchange->links.end(), [&](const auto& other) {
-      const bool counts = !detector.probed() || detector.IsOfHolder(other->opened_at);
+      const bool counts = !detector.IsProbingHolder() || detector.IsHolderConnection(other->opened_at);
       return other->open && other.get() != &link && counts;
     });
     exchange->detector.OnConnectionReset(now, static_cast<std::size_t>(others), exchange->standing.size());
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -24,7 +24,7 @@
 constexpr TimeUs kLongestKillWait = 3'000'000, kKillMargin = 700'000;
 constexpr TimeUs kAnswersBeforeKill = 350'000, kClosedBeforeKill = 250'000;
 // Calls in doubt are ended so much before, as their callers' connections are still open then.
-constexpr TimeUs kSettledBeforeKill = kClosedBeforeKill + 2 * policy::kLivenessStep;
+constexpr TimeUs kSettledBeforeKill = kClosedBeforeKill + 2 * policy::kLivenessCheckInterval;
 // An address that is still bound is tried again at this gap, so many times.
 constexpr TimeUs kBindAgain = 50'000;
 constexpr int kMostBinds = 200;
--- a/src/policy/failure_detector.cpp
+++ b/src/policy/failure_detector.cpp
@@ -5,32 +5,33 @@
 namespace croftrun::policy {
 namespace {
 
-// A sign of life is asked for after this much silence, and again at this gap while none comes.
-constexpr TimeUs kQuietAfter = 2'500'000, kConnectGap = 500'000;
-// The second one follows sooner, as one that does not come up at once may be the one in fifty.
-constexpr TimeUs kSecondConnectAfter = 250'000;
-// The shortest silence that is out of the ordinary, however often reports come: the own process stands still at times.
-constexpr TimeUs kQuietAtLeast = 1'000'000;
-// Reports that come together on several connections are one.
-constexpr TimeUs kSameReport = 20'000;
-constexpr TimeUs kProbeGap = 1'000'000;
-// A test that was not answered by then goes on as a connection.
-constexpr TimeUs kProbeWithin = 500'000;
-// Connections that come up late do so within a second.
-constexpr TimeUs kLongerThanLate = 1'200'000;
-// One connection in fifty never comes up: three in a row do so once in 125,000 times, two mark an outage. The second of
-// these may have been asked for a little later.
-constexpr std::size_t kUnansweredOfSilence = 3, kUnansweredOfOutage = 2;
-constexpr TimeUs kSecondIsLate = 700'000;
-// Doubts that are told apart: a process that is replaced more often within the time for one is in doubt as a whole.
-constexpr std::size_t kMostDoubts = 8;
-// A report denies calls that stood if at most one in so many can be among its circuits.
-constexpr std::size_t kFewKnown = 4;
-// A report of circuits tells a successor from the process that holds the calls only before the successor has calls too.
-constexpr TimeUs kReportIsFresh = 1'000'000;
-// A release that overtook no report is here by the first; one that was sent on a dead connection comes on the further
-// one by the second.
-constexpr TimeUs kDenialIsDoubt = 300'000, kDenialIsCertain = 1'000'000;
+// Silence after which a sign of life is requested at the latest, and the interval at which the request is repeated.
+constexpr TimeUs kMaxSilenceThreshold = 2'500'000, kConnectInterval = 500'000;
+// The second connection is requested sooner, because the first may be the one in fifty that is never established.
+constexpr TimeUs kSecondConnectInterval = 250'000;
+// Lower bound of the silence threshold, however often reports arrive, because this process itself may stall at times.
+constexpr TimeUs kMinSilenceThreshold = 1'000'000;
+// Reports that arrive on several connections within this time count as one.
+constexpr TimeUs kDuplicateReportWindow = 20'000;
+constexpr TimeUs kProbeInterval = 1'000'000;
+// If the holder has not answered a probe by then, a connection is requested.
+constexpr TimeUs kProbeTimeout = 500'000;
+// A requested connection counts as unanswered after this time. One that is established late takes up to one second.
+constexpr TimeUs kUnansweredTimeout = 1'200'000;
+// One connection in fifty is never established. Three in a row fail by chance once in 125,000 times, so they confirm a
+// silence; two indicate an outage. The second of these may have been requested a little later.
+constexpr std::size_t kMinUnansweredForSilence = 3, kMinUnansweredForOutage = 2;
+constexpr TimeUs kSecondUnansweredTimeout = 700'000;
+// Number of suspicions tracked separately. If the process is replaced more often within the detection timeout, the last
+// suspicion covers the further replacements as well.
+constexpr std::size_t kMaxSuspicions = 8;
+// A report denies the calls in question if its circuits can account for at most one in this many of them.
+constexpr std::size_t kDenialRatio = 4;
+// A circuit report tells the holder from a successor only until the successor has calls of its own.
+constexpr TimeUs kMaxFreshConnectionAge = 1'000'000;
+// A release in transit when a report denies its call arrives within the first of these times. One that was sent on a
+// dead connection is repeated on the additional connection within the second.
+constexpr TimeUs kDenialSuspicionTimeout = 300'000, kDenialConfirmationTimeout = 1'000'000;
 
 }  // namespace
 
@@ -40,237 +41,245 @@
       return "alive";
     case LivenessState::kQuiet:
       return "quiet";
-    case LivenessState::kDoubtful:
+    case LivenessState::kSuspected:
       return "doubtful";
   }
   return "";
 }
 
-bool DeniesMost(const CircuitUse& use) {
-  const std::size_t known = use.used + use.unsettled;
-  return use.standing_before > 0 && use.standing > known && 2 * (use.standing - known) > use.standing_before;
+bool DeniesMostCalls(const CircuitUse& use) {
+  const std::size_t accounted_for = use.used + use.unsettled;
+  return use.in_question > 0 && use.established > accounted_for &&
+         2 * (use.established - accounted_for) > use.in_question;
 }
 
-bool DeniesAll(const CircuitUse& use) {
-  const std::size_t settled_since = use.standing - use.standing_before - use.unsettled;
-  const std::size_t known_at_most = use.used - std::min(use.used, settled_since);
-  if (use.standing_before == 0) return false;
-  return use.announced > 0 ? known_at_most == 0 : kFewKnown * known_at_most <= use.standing_before;
+bool DeniesNearlyAllCalls(const CircuitUse& use) {
+  const std::size_t settled_since = use.established - use.in_question - use.unsettled;
+  const std::size_t max_accounted_for = use.used - std::min(use.used, settled_since);
+  if (use.in_question == 0) return false;
+  return use.announced > 0 ? max_accounted_for == 0 : kDenialRatio * max_accounted_for <= use.in_question;
 }
 
-bool KnowsMost(const CircuitUse& use) {
-  const std::size_t others = use.standing - use.standing_before + use.pending;
-  return use.used > others && 2 * (use.used - others) > use.standing_before;
+bool ConfirmsMostCalls(const CircuitUse& use) {
+  const std::size_t others = use.established - use.in_question + use.pending;
+  return use.used > others && 2 * (use.used - others) > use.in_question;
 }
 
-void FailureDetector::Confirm(TimeUs now) {
-  OnSign(now);
-  TrustFrom(now);
+void FailureDetector::ConfirmHolder(TimeUs now) {
+  RecordSignOfLife(now);
+  ClearSuspicions(now);
 }
 
-void FailureDetector::TrustFrom(TimeUs time) {
-  confirmed_at_ = std::max(confirmed_at_, time);
-  doubts_.clear();
+void FailureDetector::ClearSuspicions(TimeUs alive_at) {
+  confirmed_at_ = std::max(confirmed_at_, alive_at);
+  suspicions_.clear();
   denied_at_ = 0;
-  probed_at_ = reached_at_ = others_since_ = others_heard_at_ = 0;
-  give_up_from_ = 0;
-  newest_next_ = false;
+  holder_probed_at_ = machine_reached_at_ = others_opened_at_ = others_last_data_at_ = 0;
+  give_up_not_before_ = 0;
+  probe_newest_next_ = false;
   unconfirmed_since_ = 0;
 }
 
-void FailureDetector::OnSign(TimeUs now) {
-  last_sign_ = std::max(last_sign_, now);
-  asked_.clear();
+void FailureDetector::RecordSignOfLife(TimeUs now) {
+  last_sign_at_ = std::max(last_sign_at_, now);
+  connect_requests_.clear();
 }
 
-void FailureDetector::DoubtSince(TimeUs since) {
-  if (doubts_.size() >= kMostDoubts) {
-    doubts_.back().since = since;
+void FailureDetector::AddSuspicion(TimeUs since) {
+  if (suspicions_.size() >= kMaxSuspicions) {
+    suspicions_.back().since = since;
     return;
   }
-  doubts_.push_back({since, doubts_.empty() ? confirmed_at_ : last_sign_});
+  suspicions_.push_back({since, suspicions_.empty() ? confirmed_at_ : last_sign_at_});
 }
 
-void FailureDetector::Prove(TimeUs now, TimeUs known_since) {
-  std::erase_if(doubts_, [known_since](const Doubt& doubt) { return doubt.since > known_since; });
-  if (doubts_.empty()) Confirm(now);
+void FailureDetector::ConfirmProcess(TimeUs now, TimeUs known_since) {
+  std::erase_if(suspicions_, [known_since](const Suspicion& suspicion) { return suspicion.since > known_since; });
+  if (suspicions_.empty()) ConfirmHolder(now);
 }
 
-std::size_t FailureDetector::Unanswered(TimeUs now) const {
+std::size_t FailureDetector::CountUnansweredConnects(TimeUs now) const {
   return static_cast<std::size_t>(
-      std::count_if(asked_.begin(), asked_.end(), [now](TimeUs asked) { return now >= asked + kLongerThanLate; }));
+      std::count_if(connect_requests_.begin(), connect_requests_.end(),
+                    [now](TimeUs requested_at) { return now >= requested_at + kUnansweredTimeout; }));
 }
 
-bool FailureDetector::OutOfReach(TimeUs now) const {
-  return asked_.size() >= kUnansweredOfOutage && now >= asked_[0] + kLongerThanLate && now >= asked_[1] + kSecondIsLate;
+bool FailureDetector::IsUnreachable(TimeUs now) const {
+  return connect_requests_.size() >= kMinUnansweredForOutage && now >= connect_requests_[0] + kUnansweredTimeout &&
+         now >= connect_requests_[1] + kSecondUnansweredTimeout;
 }
 
-bool FailureDetector::Quiet(TimeUs now) const {
-  const TimeUs last = by_probe_ ? confirmed_at_ : last_sign_;
-  TimeUs after = kQuietAfter;
-  // The rhythm of reports, with a half to spare, tells only while they come: after a connection alone the clock does.
-  if (report_interval_.known() && heard_at_ == last)
-    after = std::clamp(report_interval_.LongestExpected() * 3 / 2, kQuietAtLeast, kQuietAfter);
-  if (settle_by_ != 0) after = std::min(after, kQuietAtLeast);
-  return now >= last + after;
+bool FailureDetector::IsQuiet(TimeUs now) const {
+  const TimeUs last_sign = uses_probes_ ? confirmed_at_ : last_sign_at_;
+  TimeUs threshold = kMaxSilenceThreshold;
+  // The report interval, with a margin of one half, applies only if the last sign of life was data. After a newly
+  // established connection without data the fixed threshold applies.
+  if (report_interval_.HasEstimate() && last_data_at_ == last_sign)
+    threshold = std::clamp(report_interval_.MaxExpectedInterval() * 3 / 2, kMinSilenceThreshold, kMaxSilenceThreshold);
+  if (decision_deadline_ != 0) threshold = std::min(threshold, kMinSilenceThreshold);
+  return now >= last_sign + threshold;
 }
 
-bool FailureDetector::IsOfHolder(TimeUs connection_opened_at) const {
-  return doubts_.empty() ? connection_opened_at <= confirmed_at_ : connection_opened_at < doubts_.back().since;
+bool FailureDetector::IsHolderConnection(TimeUs connection_opened_at) const {
+  return suspicions_.empty() ? connection_opened_at <= confirmed_at_ : connection_opened_at < suspicions_.back().since;
 }
 
 void FailureDetector::OnFirstCall(TimeUs now) {
-  Confirm(now);
-  heard_at_ = now;
+  ConfirmHolder(now);
+  last_data_at_ = now;
 }
 
-void FailureDetector::OnOctets(TimeUs now, TimeUs connection_opened_at) {
-  heard_at_ = now;
-  OnSign(now);
-  if (!doubts_.empty()) return Prove(now, connection_opened_at);
+void FailureDetector::OnDataReceived(TimeUs now, TimeUs connection_opened_at) {
+  last_data_at_ = now;
+  RecordSignOfLife(now);
+  if (!suspicions_.empty()) return ConfirmProcess(now, connection_opened_at);
   if (denied_at_ != 0) {
-    if (connection_opened_at < denied_before_) Confirm(now);
+    if (connection_opened_at < denied_before_) ConfirmHolder(now);
     return;
   }
-  if (!by_probe_ || IsOfHolder(connection_opened_at)) return Confirm(now);
-  others_since_ = others_since_ == 0 ? connection_opened_at : std::min(others_since_, connection_opened_at);
-  others_heard_at_ = now;
+  if (!uses_probes_ || IsHolderConnection(connection_opened_at)) return ConfirmHolder(now);
+  others_opened_at_ = others_opened_at_ == 0 ? connection_opened_at : std::min(others_opened_at_, connection_opened_at);
+  others_last_data_at_ = now;
 }
 
-void FailureDetector::OnConnectionOpened(TimeUs now, std::size_t standing) {
-  const bool announced_long_ago = unconfirmed_since_ != 0 && now >= unconfirmed_since_ + kLongerThanLate;
-  if ((OutOfReach(now) || announced_long_ago) && standing > 0) {
-    // It was out of reach: another process may be there by now. Whatever stands there stood before this connection.
-    DoubtSince(now);
-    next_probe_ = now;
+void FailureDetector::OnConnectionOpened(TimeUs now, std::size_t established) {
+  const bool announcement_overdue = unconfirmed_since_ != 0 && now >= unconfirmed_since_ + kUnansweredTimeout;
+  if ((IsUnreachable(now) || announcement_overdue) && established > 0) {
+    // The exchange was unreachable, so its process may have been replaced. All its calls predate this connection.
+    AddSuspicion(now);
+    next_probe_at_ = now;
     unconfirmed_since_ = 0;
   }
-  OnSign(now);
-  if (!doubts_.empty() || denied_at_ != 0) return;
-  if (!by_probe_) return Confirm(now);
-  // Its machine can be reached: whether the process is still the same has to be shown by the older connections.
-  if (probed_at_ == 0 || reached_at_ != 0) return;
-  reached_at_ = now;
-  newest_next_ = true;
-  next_probe_ = now;
+  RecordSignOfLife(now);
+  if (!suspicions_.empty() || denied_at_ != 0) return;
+  if (!uses_probes_) return ConfirmHolder(now);
+  // The machine is reachable. Only the older connections can show whether the process is still the same.
+  if (holder_probed_at_ == 0 || machine_reached_at_ != 0) return;
+  machine_reached_at_ = now;
+  probe_newest_next_ = true;
+  next_probe_at_ = now;
 }
 
 void FailureDetector::OnConnectionClosed(TimeUs now, TimeUs connection_opened_at) {
-  OnSign(now);
-  if (!doubts_.empty() || denied_at_ != 0) return;
-  if (!by_probe_ || IsOfHolder(connection_opened_at)) Confirm(now);
+  RecordSignOfLife(now);
+  if (!suspicions_.empty() || denied_at_ != 0) return;
+  if (!uses_probes_ || IsHolderConnection(connection_opened_at)) ConfirmHolder(now);
 }
 
-void FailureDetector::OnConnectionReset(TimeUs now, std::size_t others_open, std::size_t standing) {
-  if (others_open > 0 || standing == 0) return;
-  DoubtSince(doubts_.empty() && others_since_ != 0 ? others_since_ : now);
+void FailureDetector::OnConnectionReset(TimeUs now, std::size_t others_open, std::size_t established) {
+  if (others_open > 0 || established == 0) return;
+  AddSuspicion(suspicions_.empty() && others_opened_at_ != 0 ? others_opened_at_ : now);
   denied_at_ = 0;
 }
 
-void FailureDetector::OnUnconfirmedCall(TimeUs now) {
+void FailureDetector::OnUnconfirmedCallAnnounced(TimeUs now) {
   if (unconfirmed_since_ == 0) unconfirmed_since_ = now;
 }
 
-void FailureDetector::OnCallKnown(TimeUs now, TimeUs stood_at) {
-  if (denied_at_ != 0) return Confirm(now);
-  Prove(now, stood_at);
+void FailureDetector::OnCallConfirmed(TimeUs now, TimeUs established_at) {
+  if (denied_at_ != 0) return ConfirmHolder(now);
+  ConfirmProcess(now, established_at);
 }
 
-void FailureDetector::OnReport(TimeUs now) { report_interval_.OnEvent(now, kSameReport, kQuietAfter); }
+void FailureDetector::OnReportReceived(TimeUs now) {
+  report_interval_.RecordEvent(now, kDuplicateReportWindow, kMaxSilenceThreshold);
+}
 
-TimeUs FailureDetector::CallsInQuestion(TimeUs connection_opened_at) const {
-  if (!doubts_.empty()) return doubts_.back().since;
+TimeUs FailureDetector::CallsInQuestionBefore(TimeUs connection_opened_at) const {
+  if (!suspicions_.empty()) return suspicions_.back().since;
   return denied_at_ != 0 ? denied_before_ : connection_opened_at;
 }
 
-bool FailureDetector::OnCircuits(TimeUs now, TimeUs connection_opened_at, const CircuitUse& use) {
-  if (connection_opened_at < CallsInQuestion(connection_opened_at)) return false;
-  if (!doubts_.empty() && denied_at_ == 0 && DeniesMost(use)) {
-    give_up_before_ = doubts_.back().since;
+bool FailureDetector::OnCircuitReport(TimeUs now, TimeUs connection_opened_at, const CircuitUse& use) {
+  if (connection_opened_at < CallsInQuestionBefore(connection_opened_at)) return false;
+  if (!suspicions_.empty() && denied_at_ == 0 && DeniesMostCalls(use)) {
+    give_up_before_ = suspicions_.back().since;
     return true;
   }
-  const bool fresh = now - connection_opened_at <= kReportIsFresh;
-  const bool all_counted = use.used >= use.standing && (fresh || denied_at_ != 0);
-  if (all_counted || (denied_at_ != 0 && KnowsMost(use))) {
-    Confirm(now);
-  } else if (doubts_.empty() && denied_at_ == 0 && DeniesAll(use)) {
+  const bool is_fresh = now - connection_opened_at <= kMaxFreshConnectionAge;
+  const bool all_accounted_for = use.used >= use.established && (is_fresh || denied_at_ != 0);
+  if (all_accounted_for || (denied_at_ != 0 && ConfirmsMostCalls(use))) {
+    ConfirmHolder(now);
+  } else if (suspicions_.empty() && denied_at_ == 0 && DeniesNearlyAllCalls(use)) {
     denied_at_ = now;
     denied_before_ = connection_opened_at;
   }
   return false;
 }
 
-void FailureDetector::OnCallsCounted(TimeUs now) { Confirm(now); }
+void FailureDetector::OnAllCallsAccountedFor(TimeUs now) { ConfirmHolder(now); }
 
-void FailureDetector::OnGivenUp() {
-  std::erase_if(doubts_, [this](const Doubt& doubt) { return doubt.since <= give_up_before_; });
-  // The calls that are left are of the process that gave the last sign.
-  if (doubts_.empty()) TrustFrom(last_sign_);
+void FailureDetector::OnCallsGivenUp() {
+  std::erase_if(suspicions_, [this](const Suspicion& suspicion) { return suspicion.since <= give_up_before_; });
+  // The remaining calls belong to the process that gave the last sign of life.
+  if (suspicions_.empty()) ClearSuspicions(last_sign_at_);
 }
 
-TimeUs FailureDetector::ReplacedBefore(TimeUs now) const {
-  if (doubts_.empty()) return 0;
-  const bool denied = denied_at_ != 0 && now >= denied_at_ + kDenialIsCertain;
-  if (denied || Settling(now)) return doubts_.back().since;
-  const Doubt& oldest = doubts_.front();
-  const bool time_is_up = now >= std::max(oldest.alive_at + settings_.detect_within_us, give_up_from_);
-  return time_is_up ? oldest.since : 0;
+TimeUs FailureDetector::ReplacementCutoff(TimeUs now) const {
+  if (suspicions_.empty()) return 0;
+  const bool denial_confirmed = denied_at_ != 0 && now >= denied_at_ + kDenialConfirmationTimeout;
+  if (denial_confirmed || IsDecisionDue(now)) return suspicions_.back().since;
+  const Suspicion& oldest = suspicions_.front();
+  const bool timeout_expired = now >= std::max(oldest.alive_at + settings_.detection_timeout_us, give_up_not_before_);
+  return timeout_expired ? oldest.since : 0;
 }
 
-LivenessAction FailureDetector::Next(TimeUs now, bool may_probe, bool holder_open) {
-  by_probe_ = may_probe && holder_open && doubts_.empty() && !report_interval_.seen();
-  if (doubts_.empty() && denied_at_ != 0 && (now >= denied_at_ + kDenialIsDoubt || Settling(now))) {
-    DoubtSince(denied_before_);
-    next_probe_ = now + kProbeGap;
+LivenessAction FailureDetector::NextAction(TimeUs now, bool may_probe, bool holder_open) {
+  uses_probes_ = may_probe && holder_open && suspicions_.empty() && !report_interval_.HasEvents();
+  if (suspicions_.empty() && denied_at_ != 0 && (now >= denied_at_ + kDenialSuspicionTimeout || IsDecisionDue(now))) {
+    AddSuspicion(denied_before_);
+    next_probe_at_ = now + kProbeInterval;
     return LivenessAction::kConnect;
   }
-  if (const TimeUs replaced_before = ReplacedBefore(now); replaced_before != 0) {
+  if (const TimeUs replaced_before = ReplacementCutoff(now); replaced_before != 0) {
     give_up_before_ = replaced_before;
     return LivenessAction::kGiveUpReplaced;
   }
-  const bool time_is_up = now >= last_sign_ + settings_.detect_within_us;
-  if ((time_is_up && Unanswered(now) >= kUnansweredOfSilence) || (Settling(now) && OutOfReach(now))) {
+  const bool timeout_expired = now >= last_sign_at_ + settings_.detection_timeout_us;
+  if ((timeout_expired && CountUnansweredConnects(now) >= kMinUnansweredForSilence) ||
+      (IsDecisionDue(now) && IsUnreachable(now))) {
     give_up_before_ = now + 1;
     return LivenessAction::kGiveUpSilent;
   }
-  if (!doubts_.empty() && may_probe && now >= next_probe_) {
-    next_probe_ = now + kProbeGap;
-    return LivenessAction::kProbe;
+  if (!suspicions_.empty() && may_probe && now >= next_probe_at_) {
+    next_probe_at_ = now + kProbeInterval;
+    return LivenessAction::kProbeHolder;
   }
-  if (!Quiet(now)) return LivenessAction::kNone;
-  return by_probe_ ? NextByProbe(now) : NextConnect(now);
+  if (!IsQuiet(now)) return LivenessAction::kNone;
+  return uses_probes_ ? NextProbeAction(now) : NextConnectAction(now);
 }
 
-LivenessAction FailureDetector::NextConnect(TimeUs now) {
-  const TimeUs gap = asked_.size() == 1 ? kSecondConnectAfter : kConnectGap;
-  if (!asked_.empty() && now < asked_.back() + gap) return LivenessAction::kNone;
-  asked_.push_back(now);
+LivenessAction FailureDetector::NextConnectAction(TimeUs now) {
+  const TimeUs interval = connect_requests_.size() == 1 ? kSecondConnectInterval : kConnectInterval;
+  if (!connect_requests_.empty() && now < connect_requests_.back() + interval) return LivenessAction::kNone;
+  connect_requests_.push_back(now);
   return LivenessAction::kConnect;
 }
 
-LivenessAction FailureDetector::NextByProbe(TimeUs now) {
-  if (probed_at_ == 0) {
-    probed_at_ = now;
-    return LivenessAction::kProbe;
+LivenessAction FailureDetector::NextProbeAction(TimeUs now) {
+  if (holder_probed_at_ == 0) {
+    holder_probed_at_ = now;
+    return LivenessAction::kProbeHolder;
   }
-  if (now < probed_at_ + kProbeWithin) return LivenessAction::kNone;
-  if (others_heard_at_ >= probed_at_) {
-    DoubtSince(others_since_);
-    next_probe_ = now;
-    give_up_from_ = now + kProbeGap;
+  if (now < holder_probed_at_ + kProbeTimeout) return LivenessAction::kNone;
+  if (others_last_data_at_ >= holder_probed_at_) {
+    AddSuspicion(others_opened_at_);
+    next_probe_at_ = now;
+    give_up_not_before_ = now + kProbeInterval;
     return LivenessAction::kNone;
   }
-  if (reached_at_ != 0 && now >= reached_at_ + kQuietAfter) reached_at_ = 0;  // it has to be shown again
-  if (reached_at_ == 0) return NextConnect(now);
-  if (now < next_probe_) return LivenessAction::kNone;
-  next_probe_ = now + kProbeGap;
-  newest_next_ = !newest_next_;
-  return newest_next_ ? LivenessAction::kProbe : LivenessAction::kProbeNewest;
+  // The machine counts as reachable for a limited time only.
+  if (machine_reached_at_ != 0 && now >= machine_reached_at_ + kMaxSilenceThreshold) machine_reached_at_ = 0;
+  if (machine_reached_at_ == 0) return NextConnectAction(now);
+  if (now < next_probe_at_) return LivenessAction::kNone;
+  next_probe_at_ = now + kProbeInterval;
+  probe_newest_next_ = !probe_newest_next_;
+  return probe_newest_next_ ? LivenessAction::kProbeHolder : LivenessAction::kProbeNewest;
 }
 
 LivenessState FailureDetector::state(TimeUs now) const {
-  if (!doubts_.empty()) return LivenessState::kDoubtful;
-  return Quiet(now) ? LivenessState::kQuiet : LivenessState::kAlive;
+  if (!suspicions_.empty()) return LivenessState::kSuspected;
+  return IsQuiet(now) ? LivenessState::kQuiet : LivenessState::kAlive;
 }
 
 }  // namespace croftrun::policy
--- a/src/policy/failure_detector.h
+++ b/src/policy/failure_detector.h
@@ -1,35 +1,42 @@
-// The failure detector for one exchange: decides, from what is heard of it, whether the calls that stand there are
-// still known there, when a further sign of life is to be asked for, and when the calls are to be given up.
+// Failure detector for one exchange. From the traffic of the exchange it decides whether the calls established there
+// still exist, when a further sign of life is needed, and when the calls have to be given up.
 //
-// Two things end calls without a word. A machine vanishes: open connections stay open and silent, new ones never come
-// up. A process dies and another takes its address: connections are reset, the next one comes up, and nobody there
-// knows the calls. In both cases the callers have to be told within a fixed time of the end (`detect_within_us`), so
-// the detector needs a sign of life within that time, again and again, for as long as calls stand.
+// Calls end without a release in two cases. If the machine fails, open connections stay open without traffic and new
+// ones are not established. If the process dies and another one takes over its address, the connections are reset and
+// new ones are established, but the new process does not know the calls. In both cases the callers have to be notified
+// within a fixed time of the end (`detection_timeout_us`). The detector therefore needs signs of life at shorter
+// intervals for as long as there are calls.
 //
-// A sign of life is any octet, a connection that comes up, or one that is closed in order. A connection that comes up
-// is the sign that is asked for: it costs no probe, and it brings releases that the exchange could send on no older
-// one. Silence counts only together with several connections that stayed down for longer than a late one takes, as
-// single connections get lost, come up late, or find a process that stands still.
+// A sign of life is any received data, a newly established connection, or an orderly close. To obtain one, the detector
+// requests a new connection: this takes no probe, and the exchange can use it to send releases that it could not send
+// on the older ones. Silence alone is no evidence of a failure. In addition, several connection attempts must have
+// stayed unanswered for longer than a late connection takes, because a single connection may be lost, may be
+// established late, or may reach a process that is stalled.
 //
-// The process that holds the calls is told from a successor by an unbroken chain of connections: it is in doubt when
-// the last open one was reset, or when the machine was out of reach for a while. What ends the doubt: octets on a
-// connection from before, word of a call from before, or as many circuits in use as calls stand. Otherwise the calls
-// are given up.
+// The process that holds the calls is called the holder, and one that takes its place a successor. The two are told
+// apart by an unbroken sequence of connections: the holder is suspected to have been replaced when its last open
+// connection was reset, or when the machine was unreachable for a while. Any of the following clears the suspicion:
+// data on a connection that is older than the suspicion, a release of a call that is older than the suspicion, or a
+// report with at least as many circuits in use as there are established calls. Otherwise the calls are given up.
 //
-// A report of the circuits that counts next to none of the calls from before its connection was opened is evidence by
-// itself: an outage may be over before silence shows it. Releases that are on their way look the same for a moment, so
-// such a denial has to last, and a further connection is asked for, on which the exchange sends releases again.
+// A circuit report that can account for almost none of the calls that are older than its connection is evidence as
+// well, because an outage may be over before any silence is noticed. Releases in transit cause the same picture for a
+// moment. Such a denial therefore has to persist, and a further connection is requested on which the exchange repeats
+// its releases.
 //
-// Where no reports come and tests are allowed, a test on a connection of that process is the sign that is asked for:
-// its answer proves the very process, however short an outage was. One that stays mute while a connection that was
-// opened since speaks puts the calls in doubt. One that hangs answers on neither.
+// For an exchange without reports, where probes are allowed, a probe on a connection of the holder is used instead of a
+// new connection: the response identifies the process, however short an outage was. The calls are suspected if that
+// probe stays unanswered while data arrives on a connection that was opened later. A process that hangs answers on
+// neither.
 //
-// How long a silence is out of the ordinary follows from the intervals of the exchange's reports, where it has any.
+// If the exchange sends reports, the silence threshold is derived from their intervals.
 //
-// A connection that the owner is asked for and that is refused is no matter of this class: nothing runs there. One that
-// finds no room counts as one that does not come up: the protocol's time goes before the calls.
+// The owner handles refused connections itself, since no process listens there any more. A connection that cannot be
+// opened because the connection limit is reached counts as unanswered: the protocol's deadline takes precedence over
+// keeping the calls.
 //
-// A pure state machine: the owner gives the times, carries out what Next asks for, and keeps the connections.
+// The class is a state machine without I/O or a clock. The owner passes the current time in, carries out the actions
+// that NextAction returns, and manages the connections.
 #ifndef CROFTRUN_POLICY_FAILURE_DETECTOR_H_
 #define CROFTRUN_POLICY_FAILURE_DETECTOR_H_
 
@@ -44,148 +51,159 @@
 namespace croftrun::policy {
 
 struct FailureDetectorSettings {
-  // The protocol's time from the end of a call that no release told to the word to its caller, less what telling takes.
-  TimeUs detect_within_us = 7'400'000;
+  // The protocol's limit from the end of a call without a release to the notification of its caller, less the time that
+  // the notification takes.
+  TimeUs detection_timeout_us = 7'400'000;
 };
 
+// What the owner of a failure detector has to do.
 enum class LivenessAction : std::uint8_t {
   kNone,
   kConnect,         // open one more connection
-  kProbe,           // send a test on a connection of the process that holds the calls: see IsOfHolder
-  kProbeNewest,     // send one on the connection that was opened last
-  kGiveUpSilent,    // all calls that stand there are over: nothing was heard of the machine
-  kGiveUpReplaced,  // those that stood before `doubt_since` are over: the process there does not know them
+  kProbeHolder,     // send a probe on a connection of the holder, see IsHolderConnection
+  kProbeNewest,     // send a probe on the connection that was opened last
+  kGiveUpSilent,    // give up all calls at the exchange: the machine gives no sign of life
+  kGiveUpReplaced,  // give up the calls established before `give_up_before`: the current process does not know them
 };
 
-enum class LivenessState : std::uint8_t { kAlive, kQuiet, kDoubtful };
+// The detector's view of an exchange: signs of life arrive, are overdue, or its calls are suspected to be lost.
+enum class LivenessState : std::uint8_t { kAlive, kQuiet, kSuspected };
 std::string_view NameOf(LivenessState state);
 
-// What a report of the exchange's circuits says about its calls.
+// Compares the circuits in use, as reported by the exchange, with the calls that this softswitch has there.
 struct CircuitUse {
-  std::size_t used = 0;             // circuits in use, by the exchange's report
-  std::size_t standing = 0;         // calls that stand there by the books of this softswitch
-  std::size_t standing_before = 0;  // those of them that are in question: see FailureDetector::CallsInQuestion
-  std::size_t unsettled = 0;        // the others, as far as the report may not count them yet: see kCallSettles
-  std::size_t announced = 0;        // of those in question, set up by a former process and announced by their callers
-  std::size_t pending = 0;          // set-ups without an answer, which the report may count
+  std::size_t used = 0;         // circuits in use according to the report
+  std::size_t established = 0;  // established calls according to this softswitch
+  std::size_t in_question = 0;  // of these, the calls in question, see FailureDetector::CallsInQuestionBefore
+  std::size_t unsettled = 0;    // of the others, calls that may be too new for the report, see kCallSettlingTime
+  std::size_t announced = 0;    // of those in question, the calls set up by a former process and announced by callers
+  std::size_t pending = 0;      // unanswered set-ups, which the report may include
 };
 
-// Whether more than half of the calls in question are missing among the circuits in use. Some may just have ended, and
-// word of it be on its way on another connection.
-bool DeniesMost(const CircuitUse& use);
-// Whether next to none of the calls in question can be among the circuits in use: at most a quarter, and none where
-// some were announced. Of these many may have ended while nobody watched, and their exchange still knows the others.
-bool DeniesAll(const CircuitUse& use);
-// Whether more than half of the calls in question must be among the circuits in use.
-bool KnowsMost(const CircuitUse& use);
-
+// Returns whether more than half of the calls in question are missing from the circuits in use. Some of them may have
+// just ended, with their releases still in transit on another connection.
+bool DeniesMostCalls(const CircuitUse& use);
+// Returns whether almost none of the calls in question can be among the circuits in use: at most a quarter of them, or
+// none at all if some were announced. Many announced calls may have ended while no process of this softswitch was
+// connected, and the exchange still knows the others.
+bool DeniesNearlyAllCalls(const CircuitUse& use);
+// Returns whether more than half of the calls in question must be among the circuits in use.
+bool ConfirmsMostCalls(const CircuitUse& use);
+
+// Monitors one exchange while calls are established there. The head of this file describes the method.
 class FailureDetector {
  public:
   explicit FailureDetector(const FailureDetectorSettings& settings) : settings_(settings) {}
 
-  // The first call stands there: what was before is of no interest.
+  // The first call is established at the exchange. Earlier evidence is discarded.
   void OnFirstCall(TimeUs now);
-  void OnOctets(TimeUs now, TimeUs connection_opened_at);
-  void OnConnectionOpened(TimeUs now, std::size_t standing);
+  // Data arrived on a connection that was opened at `connection_opened_at`.
+  void OnDataReceived(TimeUs now, TimeUs connection_opened_at);
+  // A connection was established while the exchange had `established` calls.
+  void OnConnectionOpened(TimeUs now, std::size_t established);
+  // The exchange closed a connection in an orderly way.
   void OnConnectionClosed(TimeUs now, TimeUs connection_opened_at = 0);
-  // `others_open`: connections that are still open beside it, where a test is out those of the holder alone.
-  void OnConnectionReset(TimeUs now, std::size_t others_open, std::size_t standing);
-  // A call was announced that stood before this process began, and no connection is open that could tell of it. It is
-  // in doubt if the next one takes longer than a late one does.
-  void OnUnconfirmedCall(TimeUs now);
-  // The exchange told the end of a call that stood from `stood_at` on (0: nobody knows for how long), so that its
-  // process is the one that held it.
-  void OnCallKnown(TimeUs now, TimeUs stood_at = 0);
-  // A report of the circuits came, whatever it says.
-  void OnReport(TimeUs now);
-  // Calls that stood before this time are what a report on such a connection is asked about.
-  TimeUs CallsInQuestion(TimeUs connection_opened_at) const;
-  // A report of the circuits came on a connection that was opened at `connection_opened_at`. True: the calls in
-  // question are not known there any more, and that is certain.
-  bool OnCircuits(TimeUs now, TimeUs connection_opened_at, const CircuitUse& use);
-  // Releases have come since a report denied calls, and it has as many circuits in use as calls still stand.
-  void OnCallsCounted(TimeUs now);
-  // Calls that stood before this time are those that were last asked to be given up as replaced.
+  // A connection was reset. `others_open` is the number of other open connections; while a probe of the holder is
+  // outstanding, only the holder's connections count.
+  void OnConnectionReset(TimeUs now, std::size_t others_open, std::size_t established);
+  // A caller announced a call that was established before this process started, and there is no open connection that
+  // could confirm it. The call is suspected if the next connection takes longer than a late one does.
+  void OnUnconfirmedCallAnnounced(TimeUs now);
+  // The exchange released a call that was established at `established_at` (0: unknown), so its process is the one that
+  // held the call.
+  void OnCallConfirmed(TimeUs now, TimeUs established_at = 0);
+  // A circuit report arrived, whatever its contents.
+  void OnReportReceived(TimeUs now);
+  // Returns the cutoff for a circuit report on a connection opened at `connection_opened_at`: calls established before
+  // it are in question.
+  TimeUs CallsInQuestionBefore(TimeUs connection_opened_at) const;
+  // Evaluates a circuit report that arrived on a connection opened at `connection_opened_at`. Returns true if it is
+  // certain that the exchange does not know the calls in question any more.
+  bool OnCircuitReport(TimeUs now, TimeUs connection_opened_at, const CircuitUse& use);
+  // Releases have arrived since a report denied calls, and its circuits in use now cover all remaining calls.
+  void OnAllCallsAccountedFor(TimeUs now);
+  // Returns the cutoff of the last decision to give up calls: those established before it are to be given up.
   TimeUs give_up_before() const { return give_up_before_; }
-  // The calls were given up.
-  void OnGivenUp();
-  // What is known or suspected here is lost to whoever watches these calls after `at`: signs of life are asked for
-  // sooner from now on, and calls that are in doubt at that time, or at an exchange that is out of reach then, are
-  // given up.
-  void SettleBy(TimeUs at) { settle_by_ = at; }
-
-  // What to do now; to be asked every kLivenessStep or so while calls stand. Asking is noted: the same action is not
-  // asked for again at once. `holder_open`: a connection of the process that holds the calls is open.
-  LivenessAction Next(TimeUs now, bool may_probe, bool holder_open = false);
-  // Several connections that were asked for did not come up, the first of them for longer than a late one takes.
-  bool OutOfReach(TimeUs now) const;
-  // Whether a connection that was opened then is one of the process that holds the calls, as far as is known.
-  bool IsOfHolder(TimeUs connection_opened_at) const;
-  // A test is out on a connection of the holder, and nothing has come on any.
-  bool probed() const { return probed_at_ != 0; }
+  // The owner gave up the calls as requested.
+  void OnCallsGivenUp();
+  // Sets the time by which open suspicions are decided, because their evidence is lost when this process shuts down.
+  // Signs of life are requested sooner from now on. At the deadline, suspected calls and the calls at an unreachable
+  // exchange are given up.
+  void SetDecisionDeadline(TimeUs at) { decision_deadline_ = at; }
+
+  // Returns the next action. Has to be called about every kLivenessCheckInterval while there are established calls. The
+  // returned action is recorded as carried out, so that it is not repeated at once. `holder_open` states whether a
+  // connection of the holder is open.
+  LivenessAction NextAction(TimeUs now, bool may_probe, bool holder_open = false);
+  // Returns whether several requested connections are unanswered, the first of them for longer than a late one takes.
+  bool IsUnreachable(TimeUs now) const;
+  // Returns whether a connection opened at this time belongs to the holder, as far as is known.
+  bool IsHolderConnection(TimeUs connection_opened_at) const;
+  // Returns whether a probe of the holder is outstanding and nothing has arrived on any of its connections since.
+  bool IsProbingHolder() const { return holder_probed_at_ != 0; }
 
   LivenessState state(TimeUs now) const;
-  // Calls that stood before are in doubt; 0: none are.
-  TimeUs doubt_since() const { return doubts_.empty() ? 0 : doubts_.back().since; }
-  // A report denies calls, and nothing has contradicted it yet.
-  bool denied() const { return denied_at_ != 0; }
-  // When the process that holds the calls was last known to live.
+  // Returns the cutoff of the newest suspicion, or 0 if there is none: calls established before it may be lost.
+  TimeUs suspected_since() const { return suspicions_.empty() ? 0 : suspicions_.back().since; }
+  // Returns whether a report has denied calls and nothing has contradicted it yet.
+  bool HasPendingDenial() const { return denied_at_ != 0; }
+  // Returns when the holder was last known to be alive.
   TimeUs confirmed_at() const { return confirmed_at_; }
 
  private:
-  // The process there may be another one since `since`. While that is open it may be replaced once more.
-  struct Doubt {
+  // The holder may have been replaced at `since`. The successor may be replaced in turn while this is undecided.
+  struct Suspicion {
     TimeUs since = 0;
-    TimeUs alive_at = 0;  // the last sign of life of the process that it is about
+    TimeUs alive_at = 0;  // last sign of life of the process that may have been replaced
   };
 
-  // The process that holds the calls gave a sign of life.
-  void Confirm(TimeUs now);
-  // Nothing is in doubt: the process that gave a sign at that time holds all calls.
-  void TrustFrom(TimeUs time);
-  void DoubtSince(TimeUs since);
-  // A process that was there at `known_since` is there now: later doubts are over.
-  void Prove(TimeUs now, TimeUs known_since);
-  // Any process there lives.
-  void OnSign(TimeUs now);
-  bool Settling(TimeUs now) const { return settle_by_ != 0 && now >= settle_by_; }
-  // Calls that stood before this time are to be given up by now; 0: none.
-  TimeUs ReplacedBefore(TimeUs now) const;
-  LivenessAction NextByProbe(TimeUs now);
-  LivenessAction NextConnect(TimeUs now);
-  // For how long nothing has to come before a sign of life is asked for.
-  bool Quiet(TimeUs now) const;
-  // Connections that were asked for since the last sign of life, longer ago than a late one takes.
-  std::size_t Unanswered(TimeUs now) const;
+  // Records a sign of life of the holder.
+  void ConfirmHolder(TimeUs now);
+  // Clears all suspicions: the process that gave a sign of life at `alive_at` holds all calls.
+  void ClearSuspicions(TimeUs alive_at);
+  void AddSuspicion(TimeUs since);
+  // Records that a process that was present at `known_since` is still present, which clears later suspicions.
+  void ConfirmProcess(TimeUs now, TimeUs known_since);
+  // Records a sign of life of any process at the exchange.
+  void RecordSignOfLife(TimeUs now);
+  bool IsDecisionDue(TimeUs now) const { return decision_deadline_ != 0 && now >= decision_deadline_; }
+  // Returns the cutoff for calls that have to be given up now because the holder was replaced, or 0 if there are none.
+  TimeUs ReplacementCutoff(TimeUs now) const;
+  LivenessAction NextProbeAction(TimeUs now);
+  LivenessAction NextConnectAction(TimeUs now);
+  // Returns whether there has been no sign of life for so long that one has to be requested.
+  bool IsQuiet(TimeUs now) const;
+  // Counts the connections requested since the last sign of life for which kUnansweredTimeout has expired.
+  std::size_t CountUnansweredConnects(TimeUs now) const;
 
   FailureDetectorSettings settings_;
-  TimeUs confirmed_at_ = 0;
-  TimeUs last_sign_ = 0;       // of any process there
-  std::vector<Doubt> doubts_;  // the oldest first; none: the process is the one that holds the calls
+  TimeUs confirmed_at_ = 0;            // last sign of life of the holder
+  TimeUs last_sign_at_ = 0;            // last sign of life of any process at the exchange
+  std::vector<Suspicion> suspicions_;  // oldest first; empty while the current process is taken for the holder
   TimeUs give_up_before_ = 0;
-  TimeUs denied_at_ = 0;          // a report denied calls, and no other evidence is there; 0: none did
-  TimeUs denied_before_ = 0;      // those that stood before this
-  TimeUs settle_by_ = 0;          // 0: no end is in sight
-  TimeUs unconfirmed_since_ = 0;  // a call was announced while no connection was open; 0: none
-  std::vector<TimeUs> asked_;     // when connections were asked for, since the last sign of life
-  TimeUs next_probe_ = 0;
+  TimeUs denied_at_ = 0;                  // when a report denied calls without other evidence; 0: no pending denial
+  TimeUs denied_before_ = 0;              // calls established before this time are denied
+  TimeUs decision_deadline_ = 0;          // 0: none
+  TimeUs unconfirmed_since_ = 0;          // when a call was announced without an open connection; 0: none
+  std::vector<TimeUs> connect_requests_;  // times at which connections were requested since the last sign of life
+  TimeUs next_probe_at_ = 0;
   IntervalEstimator report_interval_;
-  TimeUs heard_at_ = 0;  // the last octets
-  // Where tests identify the process that holds the calls.
-  bool by_probe_ = false;
-  bool newest_next_ = false;    // whose turn it is to be tested
-  TimeUs probed_at_ = 0;        // a test is out on a connection of the holder; 0: none
-  TimeUs reached_at_ = 0;       // a connection came up since; 0: none
-  TimeUs others_since_ = 0;     // the first opened of the other connections that spoke since the holder did; 0: none
-  TimeUs others_heard_at_ = 0;  // when one of them spoke last
-  TimeUs give_up_from_ = 0;     // after a hang the holder may speak a little later than the others
+  TimeUs last_data_at_ = 0;
+  // State of the probes that identify the holder.
+  bool uses_probes_ = false;
+  bool probe_newest_next_ = false;  // the holder and the newest connection are probed in turn
+  TimeUs holder_probed_at_ = 0;     // when the outstanding probe of the holder was sent; 0: none
+  TimeUs machine_reached_at_ = 0;   // when a connection was established after that probe; 0: none was
+  TimeUs others_opened_at_ = 0;     // when the oldest connection was opened that had data after the holder; 0: none
+  TimeUs others_last_data_at_ = 0;  // when data last arrived on such a connection
+  TimeUs give_up_not_before_ = 0;   // after a hang, data of the holder may arrive a little later than that of others
 };
 
-// A call that stood for less may be missing in a report that was sent before its answer.
-inline constexpr TimeUs kCallSettles = 1'000'000;
-inline constexpr TimeUs kLivenessStep = 100'000;
-// How long a connection is waited for that is to show a sign of life: connections may come up a second late.
-inline constexpr TimeUs kSignOfLifeWithin = 1'500'000;
+// A call counts as unsettled for this long, because a report that was sent before its answer does not include it.
+inline constexpr TimeUs kCallSettlingTime = 1'000'000;
+inline constexpr TimeUs kLivenessCheckInterval = 100'000;
+// Timeout of a connection opened as a sign of life. Connections may be established up to one second late.
+inline constexpr TimeUs kLivenessConnectTimeout = 1'500'000;
 
 }  // namespace croftrun::policy
 
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -1,4 +1,4 @@
-// The failure detector of one exchange: which signs keep its calls, which silence gives them up, and when.
+// Tests of the failure detector: which evidence keeps the calls at an exchange, and when they are given up.
 #include "policy/failure_detector.h"
 
 #include <gtest/gtest.h>
@@ -10,31 +10,32 @@
 namespace {
 
 constexpr TimeUs kMs = 1'000, kSecond = 1'000'000;
-constexpr TimeUs kToldWithin = 8 * kSecond;
+constexpr TimeUs kNotificationTimeout = 8 * kSecond;
 
-// An exchange at which calls stand, and the connections that the detector asks for.
+// An exchange with established calls, and the connections that the detector requests.
 class FailureDetectorTest : public ::testing::Test {
  protected:
-  enum class Way { kUp, kDown, kLate };
+  // How requested connections are established: at once, never, or one second late.
+  enum class Network { kUp, kDown, kLate };
 
   FailureDetectorTest() : detector_({}) {
     detector_.OnConnectionOpened(now_, 0);
     detector_.OnFirstCall(now_);
   }
-  // Runs until `until`, or until the calls are given up; says what was decided, and leaves the time of it in now_.
-  LivenessAction RunUntil(TimeUs until, Way way, bool may_probe = false) {
+  // Runs until `until` or until the calls are given up. Returns the decision and leaves its time in now_.
+  LivenessAction RunUntil(TimeUs until, Network network, bool may_probe = false) {
     while (now_ < until) {
-      now_ += kLivenessStep;
-      for (auto at = begun_.begin(); at != begun_.end();) {
-        const bool up = way == Way::kUp || (way == Way::kLate && now_ >= *at + kSecond);
-        if (up) detector_.OnConnectionOpened(now_, kStanding);
-        at = up || now_ >= *at + kSignOfLifeWithin ? begun_.erase(at) : at + 1;
+      now_ += kLivenessCheckInterval;
+      for (auto at = pending_connects_.begin(); at != pending_connects_.end();) {
+        const bool up = network == Network::kUp || (network == Network::kLate && now_ >= *at + kSecond);
+        if (up) detector_.OnConnectionOpened(now_, kEstablished);
+        at = up || now_ >= *at + kLivenessConnectTimeout ? pending_connects_.erase(at) : at + 1;
       }
-      const LivenessAction action = detector_.Next(now_, may_probe);
+      const LivenessAction action = detector_.NextAction(now_, may_probe);
       if (action == LivenessAction::kConnect) {
-        begun_.push_back(now_);
+        pending_connects_.push_back(now_);
         ++connects_;
-      } else if (action == LivenessAction::kProbe) {
+      } else if (action == LivenessAction::kProbeHolder) {
         ++probes_;
       } else if (action != LivenessAction::kNone) {
         return action;
@@ -43,267 +44,272 @@
     return LivenessAction::kNone;
   }
 
-  static constexpr std::size_t kStanding = 3;
+  static constexpr std::size_t kEstablished = 3;
   TimeUs now_ = 100 * kSecond;
   FailureDetector detector_;
-  std::vector<TimeUs> begun_;
+  std::vector<TimeUs> pending_connects_;
   int connects_ = 0, probes_ = 0;
 };
 
-TEST_F(FailureDetectorTest, AMachineThatVanishesIsGivenUpWithinTheTimeWheneverItWasHeardLast) {
-  const TimeUs vanished = now_;
-  EXPECT_EQ(RunUntil(vanished + 20 * kSecond, Way::kDown), LivenessAction::kGiveUpSilent);
-  EXPECT_LT(now_, vanished + kToldWithin);
-  EXPECT_GT(now_, vanished + 7 * kSecond);
+TEST_F(FailureDetectorTest, GivesUpCallsInTimeWhenMachineFails) {
+  const TimeUs failed_at = now_;
+  EXPECT_EQ(RunUntil(failed_at + 20 * kSecond, Network::kDown), LivenessAction::kGiveUpSilent);
+  EXPECT_LT(now_, failed_at + kNotificationTimeout);
+  EXPECT_GT(now_, failed_at + 7 * kSecond);
 }
 
-TEST_F(FailureDetectorTest, ALongHealthySilenceCutsNothingAndCostsTwoConnectionsInFiveSeconds) {
-  EXPECT_EQ(RunUntil(now_ + 300 * kSecond, Way::kUp), LivenessAction::kNone);
+TEST_F(FailureDetectorTest, KeepsCallsOfQuietExchangeAtTwoConnectionsInFiveSeconds) {
+  EXPECT_EQ(RunUntil(now_ + 300 * kSecond, Network::kUp), LivenessAction::kNone);
   EXPECT_EQ(probes_, 0);
   EXPECT_GE(connects_, 100);
   EXPECT_LE(connects_, 120);
 }
 
-TEST_F(FailureDetectorTest, TrafficCostsNothing) {
+TEST_F(FailureDetectorTest, RequestsNoConnectionWhileDataArrives) {
   for (int i = 0; i < 100; ++i) {
-    EXPECT_EQ(RunUntil(now_ + kSecond, Way::kDown), LivenessAction::kNone);
-    detector_.OnOctets(now_, kSecond);
+    EXPECT_EQ(RunUntil(now_ + kSecond, Network::kDown), LivenessAction::kNone);
+    detector_.OnDataReceived(now_, kSecond);
   }
   EXPECT_EQ(connects_, 0);
 }
 
-TEST_F(FailureDetectorTest, ConnectionsThatComeUpASecondLateAreSignsOfLife) {
-  EXPECT_EQ(RunUntil(now_ + 100 * kSecond, Way::kLate), LivenessAction::kNone);
+TEST_F(FailureDetectorTest, KeepsCallsWhenConnectionsAreOneSecondLate) {
+  EXPECT_EQ(RunUntil(now_ + 100 * kSecond, Network::kLate), LivenessAction::kNone);
 }
 
-TEST_F(FailureDetectorTest, OneConnectionThatNeverComesUpMeansNothing) {
+TEST_F(FailureDetectorTest, KeepsCallsWhenOneConnectionIsNeverEstablished) {
   const TimeUs quiet = now_ + 2'600 * kMs;
-  RunUntil(quiet, Way::kDown);
+  RunUntil(quiet, Network::kDown);
   ASSERT_EQ(connects_, 1);
-  EXPECT_EQ(RunUntil(now_ + 60 * kSecond, Way::kUp), LivenessAction::kNone);
+  EXPECT_EQ(RunUntil(now_ + 60 * kSecond, Network::kUp), LivenessAction::kNone);
 }
 
-TEST_F(FailureDetectorTest, AnOutageOfThreeSecondsCutsNothingOnceAnOldConnectionSpeaks) {
-  // It begins just before the first sign of life is asked for.
-  RunUntil(now_ + 2'400 * kMs, Way::kUp);
-  RunUntil(now_ + 3 * kSecond, Way::kDown);
-  RunUntil(now_ + 400 * kMs, Way::kUp);
-  detector_.OnOctets(now_, 99 * kSecond);
+TEST_F(FailureDetectorTest, KeepsCallsAfterShortOutageWhenOldConnectionCarriesData) {
+  // The outage begins just before the first sign of life is requested.
+  RunUntil(now_ + 2'400 * kMs, Network::kUp);
+  RunUntil(now_ + 3 * kSecond, Network::kDown);
+  RunUntil(now_ + 400 * kMs, Network::kUp);
+  detector_.OnDataReceived(now_, 99 * kSecond);
   EXPECT_EQ(detector_.state(now_), LivenessState::kAlive);
-  EXPECT_EQ(RunUntil(now_ + 60 * kSecond, Way::kUp), LivenessAction::kNone);
+  EXPECT_EQ(RunUntil(now_ + 60 * kSecond, Network::kUp), LivenessAction::kNone);
 }
 
-TEST_F(FailureDetectorTest, AMachineThatReturnsAfterAnOutageHasToShowThatItKnowsTheCalls) {
-  const TimeUs vanished = now_;
-  RunUntil(now_ + 4'300 * kMs, Way::kDown);
-  const LivenessAction action = RunUntil(now_ + 20 * kSecond, Way::kUp);
+TEST_F(FailureDetectorTest, GivesUpCallsAfterOutageWithoutEvidenceOfHolder) {
+  const TimeUs failed_at = now_;
+  RunUntil(now_ + 4'300 * kMs, Network::kDown);
+  const LivenessAction action = RunUntil(now_ + 20 * kSecond, Network::kUp);
   EXPECT_EQ(action, LivenessAction::kGiveUpReplaced);
-  EXPECT_LT(now_, vanished + kToldWithin);
-  EXPECT_GT(detector_.doubt_since(), vanished);
+  EXPECT_LT(now_, failed_at + kNotificationTimeout);
+  EXPECT_GT(detector_.suspected_since(), failed_at);
 }
 
-TEST_F(FailureDetectorTest, TheLastConnectionResetPutsTheProcessInDoubtAndOthersDoNot) {
-  detector_.OnConnectionReset(now_, 1, kStanding);
+TEST_F(FailureDetectorTest, SuspectsReplacementOnlyWhenLastConnectionIsReset) {
+  detector_.OnConnectionReset(now_, 1, kEstablished);
   EXPECT_EQ(detector_.state(now_), LivenessState::kAlive);
-  detector_.OnConnectionReset(now_, 0, kStanding);
-  EXPECT_EQ(detector_.state(now_), LivenessState::kDoubtful);
-  const TimeUs reset = now_;
+  detector_.OnConnectionReset(now_, 0, kEstablished);
+  EXPECT_EQ(detector_.state(now_), LivenessState::kSuspected);
+  const TimeUs reset_at = now_;
   now_ += 20 * kMs;
-  detector_.OnConnectionOpened(now_, kStanding);
-  detector_.OnOctets(now_ + kMs, now_);  // the successor speaks
-  EXPECT_EQ(RunUntil(now_ + 20 * kSecond, Way::kUp), LivenessAction::kGiveUpReplaced);
-  EXPECT_LT(now_, reset + kToldWithin);
-  EXPECT_EQ(detector_.doubt_since(), reset);
+  detector_.OnConnectionOpened(now_, kEstablished);
+  detector_.OnDataReceived(now_ + kMs, now_);  // data of the successor
+  EXPECT_EQ(RunUntil(now_ + 20 * kSecond, Network::kUp), LivenessAction::kGiveUpReplaced);
+  EXPECT_LT(now_, reset_at + kNotificationTimeout);
+  EXPECT_EQ(detector_.suspected_since(), reset_at);
 }
 
-// Soak seed 770105: a process was replaced while the last reset was still in doubt, and only the calls from before that
-// one were given up.
-TEST_F(FailureDetectorTest, AResetWithinADoubtIsADoubtOfItsOwn) {
+// Guards against giving up only the calls older than the first reset when a process is replaced again while that reset
+// is still a suspicion (soak seed 770105).
+TEST_F(FailureDetectorTest, TracksResetDuringSuspicionAsSeparateSuspicion) {
   const TimeUs first = now_;
-  detector_.OnConnectionReset(first, 0, kStanding);
-  detector_.OnConnectionOpened(first + 20 * kMs, kStanding);
+  detector_.OnConnectionReset(first, 0, kEstablished);
+  detector_.OnConnectionOpened(first + 20 * kMs, kEstablished);
   const TimeUs second = first + 2 * kSecond;
-  detector_.OnOctets(second - 100 * kMs, first + 20 * kMs);
-  const FailureDetector before = detector_;
-  detector_.OnConnectionReset(second, 0, kStanding + 2);
-  EXPECT_EQ(RunUntil(first + 20 * kSecond, Way::kUp), LivenessAction::kGiveUpReplaced);
-  EXPECT_LT(now_, first + kToldWithin);
+  detector_.OnDataReceived(second - 100 * kMs, first + 20 * kMs);
+  const FailureDetector snapshot = detector_;
+  detector_.OnConnectionReset(second, 0, kEstablished + 2);
+  EXPECT_EQ(RunUntil(first + 20 * kSecond, Network::kUp), LivenessAction::kGiveUpReplaced);
+  EXPECT_LT(now_, first + kNotificationTimeout);
   EXPECT_EQ(detector_.give_up_before(), first);
-  detector_.OnGivenUp();
-  EXPECT_EQ(RunUntil(first + 20 * kSecond, Way::kUp), LivenessAction::kGiveUpReplaced);
-  EXPECT_LT(now_, second + kToldWithin);
+  detector_.OnCallsGivenUp();
+  EXPECT_EQ(RunUntil(first + 20 * kSecond, Network::kUp), LivenessAction::kGiveUpReplaced);
+  EXPECT_LT(now_, second + kNotificationTimeout);
   EXPECT_GE(now_, second + 7 * kSecond);
   EXPECT_EQ(detector_.give_up_before(), second);
-  detector_.OnGivenUp();
+  detector_.OnCallsGivenUp();
   EXPECT_EQ(detector_.state(now_), LivenessState::kAlive);
-  // Word of a call from between them ends the second doubt alone.
-  detector_ = before;
-  detector_.OnConnectionReset(second, 0, kStanding + 2);
-  detector_.OnCallKnown(second + 100 * kMs, first + kSecond);
-  EXPECT_EQ(detector_.doubt_since(), first);
+  // Confirming a call established between the two resets clears only the second suspicion.
+  detector_ = snapshot;
+  detector_.OnConnectionReset(second, 0, kEstablished + 2);
+  detector_.OnCallConfirmed(second + 100 * kMs, first + kSecond);
+  EXPECT_EQ(detector_.suspected_since(), first);
 }
 
-TEST_F(FailureDetectorTest, AMachineThatVanishesWhileItsProcessIsInDoubtIsGivenUpWithinTheTime) {
-  detector_.OnConnectionReset(now_, 0, kStanding);
-  const TimeUs vanished = now_ + 3 * kSecond;
-  detector_.OnConnectionOpened(vanished, kStanding);
-  now_ = vanished;
-  ASSERT_EQ(RunUntil(vanished + 20 * kSecond, Way::kDown), LivenessAction::kGiveUpReplaced);
-  detector_.OnGivenUp();
-  EXPECT_EQ(RunUntil(vanished + 20 * kSecond, Way::kDown), LivenessAction::kGiveUpSilent);
-  EXPECT_LT(now_, vanished + kToldWithin);
+TEST_F(FailureDetectorTest, GivesUpCallsInTimeWhenMachineFailsDuringSuspicion) {
+  detector_.OnConnectionReset(now_, 0, kEstablished);
+  const TimeUs failed_at = now_ + 3 * kSecond;
+  detector_.OnConnectionOpened(failed_at, kEstablished);
+  now_ = failed_at;
+  ASSERT_EQ(RunUntil(failed_at + 20 * kSecond, Network::kDown), LivenessAction::kGiveUpReplaced);
+  detector_.OnCallsGivenUp();
+  EXPECT_EQ(RunUntil(failed_at + 20 * kSecond, Network::kDown), LivenessAction::kGiveUpSilent);
+  EXPECT_LT(now_, failed_at + kNotificationTimeout);
 }
 
-TEST_F(FailureDetectorTest, WordOfACallFromBeforeEndsTheDoubt) {
-  detector_.OnConnectionReset(now_, 0, kStanding);
-  detector_.OnCallKnown(now_ + kSecond);
+TEST_F(FailureDetectorTest, ClearsSuspicionWhenEarlierCallIsConfirmed) {
+  detector_.OnConnectionReset(now_, 0, kEstablished);
+  detector_.OnCallConfirmed(now_ + kSecond);
   EXPECT_EQ(detector_.state(now_ + kSecond), LivenessState::kAlive);
 }
 
-TEST_F(FailureDetectorTest, CircuitsInUseTellTheProcessFromItsSuccessor) {
-  const auto reported = [this](std::size_t used, TimeUs opened_after) {
+TEST_F(FailureDetectorTest, DistinguishesHolderFromSuccessorByCircuitsInUse) {
+  const auto after_report = [this](std::size_t used, TimeUs opened_after) {
     FailureDetector detector = detector_;
-    detector.OnConnectionReset(now_, 0, kStanding);
-    detector.OnConnectionOpened(now_ + opened_after, kStanding);
-    const bool replaced = detector.OnCircuits(now_ + 30 * kMs, now_ + opened_after, {used, kStanding, kStanding});
+    detector.OnConnectionReset(now_, 0, kEstablished);
+    detector.OnConnectionOpened(now_ + opened_after, kEstablished);
+    const bool replaced =
+        detector.OnCircuitReport(now_ + 30 * kMs, now_ + opened_after, {used, kEstablished, kEstablished});
     return std::make_pair(replaced, detector.state(now_ + 30 * kMs));
   };
-  EXPECT_EQ(reported(0, 20 * kMs), std::make_pair(true, LivenessState::kDoubtful));
-  EXPECT_EQ(reported(1, 20 * kMs), std::make_pair(true, LivenessState::kDoubtful));
-  EXPECT_EQ(reported(2, 20 * kMs), std::make_pair(false, LivenessState::kDoubtful));
-  EXPECT_EQ(reported(3, 20 * kMs), std::make_pair(false, LivenessState::kAlive));
-  // A report that is late in time tells nothing for the process: its successor may have calls of its own by then.
+  EXPECT_EQ(after_report(0, 20 * kMs), std::make_pair(true, LivenessState::kSuspected));
+  EXPECT_EQ(after_report(1, 20 * kMs), std::make_pair(true, LivenessState::kSuspected));
+  EXPECT_EQ(after_report(2, 20 * kMs), std::make_pair(false, LivenessState::kSuspected));
+  EXPECT_EQ(after_report(3, 20 * kMs), std::make_pair(false, LivenessState::kAlive));
+  // A late report does not confirm the holder, because a successor may have calls of its own by then.
   FailureDetector detector = detector_;
-  detector.OnConnectionReset(now_, 0, kStanding);
-  detector.OnConnectionOpened(now_ + 20 * kMs, kStanding);
-  EXPECT_FALSE(detector.OnCircuits(now_ + 3 * kSecond, now_ + 20 * kMs, {9, kStanding, kStanding}));
-  EXPECT_EQ(detector.state(now_ + 3 * kSecond), LivenessState::kDoubtful);
+  detector.OnConnectionReset(now_, 0, kEstablished);
+  detector.OnConnectionOpened(now_ + 20 * kMs, kEstablished);
+  EXPECT_FALSE(detector.OnCircuitReport(now_ + 3 * kSecond, now_ + 20 * kMs, {9, kEstablished, kEstablished}));
+  EXPECT_EQ(detector.state(now_ + 3 * kSecond), LivenessState::kSuspected);
 }
 
-// A machine that is away for less than a silence is noticed, and returns without its calls: its reports tell.
-TEST_F(FailureDetectorTest, AReportOnAFreshConnectionThatDeniesMostCallsGivesThemUpUnlessItIsContradicted) {
+// The machine is away for less time than a silence takes to be noticed and returns without its calls, so only its
+// reports show the loss.
+TEST_F(FailureDetectorTest, GivesUpCallsDeniedByReportOnNewConnection) {
   const TimeUs opened = now_ + kSecond;
-  detector_.OnConnectionOpened(opened, kStanding);
-  detector_.OnOctets(opened + kMs, opened);
-  EXPECT_EQ(detector_.CallsInQuestion(opened), opened);
-  EXPECT_FALSE(detector_.OnCircuits(opened + kMs, opened, {0, kStanding, kStanding}));
-  EXPECT_TRUE(detector_.denied());
+  detector_.OnConnectionOpened(opened, kEstablished);
+  detector_.OnDataReceived(opened + kMs, opened);
+  EXPECT_EQ(detector_.CallsInQuestionBefore(opened), opened);
+  EXPECT_FALSE(detector_.OnCircuitReport(opened + kMs, opened, {0, kEstablished, kEstablished}));
+  EXPECT_TRUE(detector_.HasPendingDenial());
   now_ = opened;
-  // It speaks on, and knows calls of its own by now: nothing of that is about the calls from before.
-  detector_.OnOctets(opened + 100 * kMs, opened);
-  EXPECT_FALSE(detector_.OnCircuits(opened + 100 * kMs, opened, {3, kStanding + 5, kStanding, 5}));
-  EXPECT_EQ(RunUntil(opened + 5 * kSecond, Way::kUp), LivenessAction::kGiveUpReplaced);
+  // Further data and newer calls of the successor are no evidence for the earlier calls.
+  detector_.OnDataReceived(opened + 100 * kMs, opened);
+  EXPECT_FALSE(detector_.OnCircuitReport(opened + 100 * kMs, opened, {3, kEstablished + 5, kEstablished, 5}));
+  EXPECT_EQ(RunUntil(opened + 5 * kSecond, Network::kUp), LivenessAction::kGiveUpReplaced);
   EXPECT_LE(now_, opened + 1'200 * kMs);
-  EXPECT_EQ(detector_.doubt_since(), opened);
-  EXPECT_EQ(connects_, 1);  // on which releases come that found no other way
+  EXPECT_EQ(detector_.suspected_since(), opened);
+  EXPECT_EQ(connects_, 1);  // for releases that could not be sent on an older connection
 }
 
-TEST_F(FailureDetectorTest, ADenialIsWithdrawnByWhateverShowsThatTheCallsAreKnown) {
+TEST_F(FailureDetectorTest, WithdrawsDenialOnEvidenceOfHolder) {
   const TimeUs opened = now_ + kSecond;
-  const auto after = [&](const auto& what) {
+  const auto expect_withdrawn = [&](const auto& provide_evidence) {
     FailureDetector detector = detector_;
-    detector.OnConnectionOpened(opened, kStanding);
-    detector.OnCircuits(opened + kMs, opened, {0, kStanding, kStanding});
-    EXPECT_TRUE(detector.denied());
-    what(detector);
-    EXPECT_FALSE(detector.denied());
+    detector.OnConnectionOpened(opened, kEstablished);
+    detector.OnCircuitReport(opened + kMs, opened, {0, kEstablished, kEstablished});
+    EXPECT_TRUE(detector.HasPendingDenial());
+    provide_evidence(detector);
+    EXPECT_FALSE(detector.HasPendingDenial());
     LivenessAction last = LivenessAction::kNone;
-    for (TimeUs at = opened + 100 * kMs; at < opened + 2 * kSecond; at += kLivenessStep)
-      last = std::max(last, detector.Next(at, false));
+    for (TimeUs at = opened + 100 * kMs; at < opened + 2 * kSecond; at += kLivenessCheckInterval)
+      last = std::max(last, detector.NextAction(at, false));
     EXPECT_EQ(last, LivenessAction::kNone);
   };
-  after([&](FailureDetector& detector) { detector.OnCallKnown(opened + 20 * kMs); });
-  after([&](FailureDetector& detector) { detector.OnOctets(opened + 20 * kMs, opened - kSecond); });
-  after([&](FailureDetector& detector) { detector.OnCallsCounted(opened + 20 * kMs); });
-  after([&](FailureDetector& detector) {
-    detector.OnCircuits(opened + 50 * kMs, opened, {kStanding, kStanding, kStanding});
+  expect_withdrawn([&](FailureDetector& detector) { detector.OnCallConfirmed(opened + 20 * kMs); });
+  expect_withdrawn([&](FailureDetector& detector) { detector.OnDataReceived(opened + 20 * kMs, opened - kSecond); });
+  expect_withdrawn([&](FailureDetector& detector) { detector.OnAllCallsAccountedFor(opened + 20 * kMs); });
+  expect_withdrawn([&](FailureDetector& detector) {
+    detector.OnCircuitReport(opened + 50 * kMs, opened, {kEstablished, kEstablished, kEstablished});
   });
 }
 
-TEST_F(FailureDetectorTest, AReportThatCountsSomeOfTheCallsOrMissesNewOnesDeniesNothing) {
-  const auto denied = [this](const CircuitUse& use) {
+TEST_F(FailureDetectorTest, IgnoresReportThatCountsSomeCallsOrMissesNewOnes) {
+  const auto denies_calls = [this](const CircuitUse& use) {
     FailureDetector detector = detector_;
     const TimeUs opened = now_ + kSecond;
-    detector.OnConnectionOpened(opened, kStanding);
-    detector.OnCircuits(opened + kMs, opened, use);
-    return detector.denied();
+    detector.OnConnectionOpened(opened, kEstablished);
+    detector.OnCircuitReport(opened + kMs, opened, use);
+    return detector.HasPendingDenial();
   };
-  EXPECT_FALSE(denied({.used = 2, .standing = 4, .standing_before = 4}));
-  EXPECT_FALSE(denied({.used = 4, .standing = 9, .standing_before = 4, .unsettled = 5}));  // answered on its way
-  EXPECT_FALSE(denied({.used = 0, .standing = 2}));                                        // it was asked about no call
-  EXPECT_TRUE(denied({.used = 2, .standing = 8, .standing_before = 8}));
-  EXPECT_TRUE(denied({.used = 5, .standing = 9, .standing_before = 4}));  // all of them set up since
-  // Soak seed 802000: of calls that were announced some had ended meanwhile, and the others were cut with them.
-  EXPECT_FALSE(denied({.used = 2, .standing = 8, .standing_before = 8, .announced = 8}));
-  EXPECT_TRUE(denied({.used = 3, .standing = 4, .standing_before = 1, .announced = 1}));
+  EXPECT_FALSE(denies_calls({.used = 2, .established = 4, .in_question = 4}));
+  EXPECT_FALSE(denies_calls(
+      {.used = 4, .established = 9, .in_question = 4, .unsettled = 5}));  // answered while the report was in transit
+  EXPECT_FALSE(denies_calls({.used = 0, .established = 2}));              // no call is in question
+  EXPECT_TRUE(denies_calls({.used = 2, .established = 8, .in_question = 8}));
+  EXPECT_TRUE(denies_calls({.used = 5, .established = 9, .in_question = 4}));  // all circuits may be of newer calls
+  // Guards against giving up announced calls that still exist because others had ended meanwhile (soak seed 802000).
+  EXPECT_FALSE(denies_calls({.used = 2, .established = 8, .in_question = 8, .announced = 8}));
+  EXPECT_TRUE(denies_calls({.used = 3, .established = 4, .in_question = 1, .announced = 1}));
 }
 
-TEST_F(FailureDetectorTest, ADenialIsWithdrawnByAReportThatMustKnowMostOfTheCalls) {
+TEST_F(FailureDetectorTest, WithdrawsDenialWhenReportMustIncludeMostCalls) {
   const TimeUs opened = now_ + kSecond;
-  detector_.OnConnectionOpened(opened, kStanding);
-  detector_.OnCircuits(opened + kMs, opened, {.used = 0, .standing = 4, .standing_before = 4});
-  // Six more may be calls set up since, and set-ups that are out.
-  detector_.OnCircuits(opened + 90 * kMs, opened,
-                       {.used = 6, .standing = 8, .standing_before = 4, .unsettled = 4, .pending = 2});
-  EXPECT_TRUE(detector_.denied());
-  detector_.OnCircuits(opened + 100 * kMs, opened, {.used = 9, .standing = 10, .standing_before = 4, .unsettled = 6});
-  EXPECT_FALSE(detector_.denied());
+  detector_.OnConnectionOpened(opened, kEstablished);
+  detector_.OnCircuitReport(opened + kMs, opened, {.used = 0, .established = 4, .in_question = 4});
+  // All six circuits may be of newer calls and pending set-ups.
+  detector_.OnCircuitReport(opened + 90 * kMs, opened,
+                            {.used = 6, .established = 8, .in_question = 4, .unsettled = 4, .pending = 2});
+  EXPECT_TRUE(detector_.HasPendingDenial());
+  detector_.OnCircuitReport(opened + 100 * kMs, opened,
+                            {.used = 9, .established = 10, .in_question = 4, .unsettled = 6});
+  EXPECT_FALSE(detector_.HasPendingDenial());
 }
 
-TEST_F(FailureDetectorTest, ProbesAreSentInDoubtAloneAndOnlyWhereTheyAreAllowed) {
-  RunUntil(now_ + 10 * kSecond, Way::kUp, true);
+TEST_F(FailureDetectorTest, SendsProbesOnlyDuringSuspicionAndIfAllowed) {
+  RunUntil(now_ + 10 * kSecond, Network::kUp, true);
   EXPECT_EQ(probes_, 0);
-  FailureDetector before = detector_;
-  RunUntil(now_ + 5 * kSecond, Way::kDown, true);
-  RunUntil(now_ + 1 * kSecond, Way::kUp, true);
+  FailureDetector snapshot = detector_;
+  RunUntil(now_ + 5 * kSecond, Network::kDown, true);
+  RunUntil(now_ + 1 * kSecond, Network::kUp, true);
   EXPECT_GT(probes_, 0);
-  detector_ = before;
+  detector_ = snapshot;
   probes_ = 0;
-  RunUntil(now_ + 9 * kSecond, Way::kDown, false);
+  RunUntil(now_ + 9 * kSecond, Network::kDown, false);
   EXPECT_EQ(probes_, 0);
 }
 
-TEST_F(FailureDetectorTest, AnExchangeThatReportsOftenIsAskedSoonAfterItFallsSilent) {
-  const auto asked_after = [](TimeUs interval) {
+TEST_F(FailureDetectorTest, RequestsSignOfLifeSoonerFromFrequentReporter) {
+  const auto time_to_request = [](TimeUs interval) {
     FailureDetector detector({});
     TimeUs now = 100 * kSecond;
     detector.OnFirstCall(now);
     for (int i = 0; i < 20; ++i) {
       now += interval;
-      detector.OnOctets(now, kSecond);
-      detector.OnReport(now);
-      detector.OnReport(now + kMs);  // a copy on another connection
+      detector.OnDataReceived(now, kSecond);
+      detector.OnReportReceived(now);
+      detector.OnReportReceived(now + kMs);  // a duplicate on another connection
     }
-    const TimeUs last = now;
-    while (detector.Next(now, false) == LivenessAction::kNone) now += kLivenessStep;
-    return now - last;
+    const TimeUs last_report_at = now;
+    while (detector.NextAction(now, false) == LivenessAction::kNone) now += kLivenessCheckInterval;
+    return now - last_report_at;
   };
-  EXPECT_EQ(asked_after(100 * kMs), kSecond);
-  EXPECT_EQ(asked_after(500 * kMs), kSecond);
-  EXPECT_EQ(asked_after(2 * kSecond), 2'500 * kMs);
+  EXPECT_EQ(time_to_request(100 * kMs), kSecond);
+  EXPECT_EQ(time_to_request(500 * kMs), kSecond);
+  EXPECT_EQ(time_to_request(2 * kSecond), 2'500 * kMs);
 }
 
-TEST_F(FailureDetectorTest, AfterAConnectionThatDidNotComeUpAtOnceAFurtherOneIsAskedForSooner) {
-  RunUntil(now_ + 2'500 * kMs, Way::kDown);
+TEST_F(FailureDetectorTest, RequestsSecondConnectionSoonerWhenFirstIsUnanswered) {
+  RunUntil(now_ + 2'500 * kMs, Network::kDown);
   EXPECT_EQ(connects_, 1);
-  RunUntil(now_ + 300 * kMs, Way::kDown);
+  RunUntil(now_ + 300 * kMs, Network::kDown);
   EXPECT_EQ(connects_, 2);
 }
 
-// An exchange without reports, where tests are allowed, and the process that holds its calls.
-class HolderTest : public ::testing::Test {
+// An exchange that sends no reports and may be probed.
+class HolderProbeTest : public ::testing::Test {
  protected:
-  HolderTest() : detector_({}) {
+  HolderProbeTest() : detector_({}) {
     detector_.OnConnectionOpened(now_, 0);
     detector_.OnFirstCall(now_);
   }
-  // Runs for `length`; connections that are asked for come up at once. `older` and `newer`: whether connections from
-  // before and from now on answer tests. Says what was decided, and leaves the time of it in now_.
-  LivenessAction RunFor(TimeUs length, bool older, bool newer) {
+  // Runs for `length` or until the calls are given up; requested connections are established at once. Probes on
+  // connections opened before and during the test are answered if `older_answers` and `newer_answers` are set. Returns
+  // the decision and leaves its time in now_.
+  LivenessAction RunFor(TimeUs length, bool older_answers, bool newer_answers) {
     const TimeUs until = now_ + length;
     while (now_ < until) {
-      now_ += kLivenessStep;
-      const LivenessAction action = detector_.Next(now_, true, true);
+      now_ += kLivenessCheckInterval;
+      const LivenessAction action = detector_.NextAction(now_, true, true);
       switch (action) {
         case LivenessAction::kNone:
           break;
@@ -313,13 +319,13 @@
           if (connects_ == 1) first_newer_opened_ = newest_opened_;
           detector_.OnConnectionOpened(newest_opened_, 1);
           break;
-        case LivenessAction::kProbe:
+        case LivenessAction::kProbeHolder:
           ++probes_;
-          if (older) detector_.OnOctets(now_ + kMs, older_opened_);
+          if (older_answers) detector_.OnDataReceived(now_ + kMs, older_opened_);
           break;
         case LivenessAction::kProbeNewest:
           ++probes_;
-          if (newer) detector_.OnOctets(now_ + kMs, newest_opened_);
+          if (newer_answers) detector_.OnDataReceived(now_ + kMs, newest_opened_);
           break;
         default:
           return action;
@@ -335,78 +341,78 @@
   int connects_ = 0, probes_ = 0;
 };
 
-TEST_F(HolderTest, ATestThatIsAnsweredOnAnOlderConnectionTakesThePlaceOfAConnection) {
+TEST_F(HolderProbeTest, AnsweredProbeOfHolderReplacesConnection) {
   EXPECT_EQ(RunFor(300 * kSecond, true, true), LivenessAction::kNone);
   EXPECT_EQ(connects_, 0);
   EXPECT_GE(probes_, 100);
   EXPECT_LE(probes_, 120);
 }
 
-TEST_F(HolderTest, AProcessThatWasReplacedIsFoundHoweverShortTheOutageWas) {
-  const TimeUs replaced = now_;
+TEST_F(HolderProbeTest, DetectsReplacementWithoutNoticeableOutage) {
+  const TimeUs replaced_at = now_;
   EXPECT_EQ(RunFor(20 * kSecond, false, true), LivenessAction::kGiveUpReplaced);
-  EXPECT_LT(now_, replaced + kToldWithin);
-  EXPECT_EQ(detector_.doubt_since(), first_newer_opened_);
+  EXPECT_LT(now_, replaced_at + kNotificationTimeout);
+  EXPECT_EQ(detector_.suspected_since(), first_newer_opened_);
 }
 
-TEST_F(HolderTest, CallsThatWereSetUpAtTheSuccessorAreNotInQuestion) {
+TEST_F(HolderProbeTest, ExcludesCallsSetUpAtSuccessorFromSuspicion) {
   const TimeUs opened = now_ + 200 * kMs;
-  detector_.Next(now_ + 100 * kMs, true, true);
+  detector_.NextAction(now_ + 100 * kMs, true, true);
   detector_.OnConnectionOpened(opened, 1);
   const TimeUs later = opened + kSecond;
-  for (int i = 0; i < 50; ++i) {  // it speaks on, on a connection that was opened later as well
-    detector_.OnOctets(now_ + 200 * kMs, opened);
+  for (int i = 0; i < 50; ++i) {  // the successor keeps sending data, also on a connection opened later
+    detector_.OnDataReceived(now_ + 200 * kMs, opened);
     detector_.OnConnectionOpened(later, 2);
-    detector_.OnOctets(now_ + 200 * kMs, later);
+    detector_.OnDataReceived(now_ + 200 * kMs, later);
     if (RunFor(200 * kMs, false, true) == LivenessAction::kGiveUpReplaced) break;
   }
-  EXPECT_EQ(detector_.doubt_since(), opened);
+  EXPECT_EQ(detector_.suspected_since(), opened);
 }
 
-TEST_F(HolderTest, AProcessThatHangsAnswersOnNoConnectionAndLosesNoCall) {
+TEST_F(HolderProbeTest, KeepsCallsWhenProcessHangsOnAllConnections) {
   EXPECT_EQ(RunFor(60 * kSecond, false, false), LivenessAction::kNone);
   EXPECT_EQ(RunFor(10 * kSecond, true, true), LivenessAction::kNone);
-  EXPECT_FALSE(detector_.probed());
+  EXPECT_FALSE(detector_.IsProbingHolder());
 }
 
-TEST_F(HolderTest, AnOlderConnectionThatIsResetUnderATestPutsTheCallsInDoubt) {
+TEST_F(HolderProbeTest, SuspectsReplacementWhenProbedConnectionIsReset) {
   RunFor(2'600 * kMs, false, false);
-  ASSERT_TRUE(detector_.probed());
+  ASSERT_TRUE(detector_.IsProbingHolder());
   detector_.OnConnectionReset(now_, 0, 1);
-  EXPECT_EQ(detector_.state(now_), LivenessState::kDoubtful);
+  EXPECT_EQ(detector_.state(now_), LivenessState::kSuspected);
 }
 
-// A doubt is lost with the process that has it: it is settled before that process ends.
-TEST_F(FailureDetectorTest, WhatIsInDoubtOrOutOfReachWhenTheProcessIsToEndIsGivenUpByThen) {
+// A suspicion is lost when this process ends, so it has to be decided before.
+TEST_F(FailureDetectorTest, GivesUpSuspectedOrUnreachableCallsByDecisionDeadline) {
   const TimeUs stop = now_;
-  const auto settled = [&](Way way, const auto& what) {
+  const auto decide_by_deadline = [&](Network network, const auto& provide_evidence) {
     now_ = stop;
-    begun_.clear();
-    FailureDetector before = detector_;
-    detector_.SettleBy(stop + 3 * kSecond);
-    what();
-    const LivenessAction action = RunUntil(stop + 3'200 * kMs, way);
-    detector_ = before;
+    pending_connects_.clear();
+    FailureDetector snapshot = detector_;
+    detector_.SetDecisionDeadline(stop + 3 * kSecond);
+    provide_evidence();
+    const LivenessAction action = RunUntil(stop + 3'200 * kMs, network);
+    detector_ = snapshot;
     return action;
   };
-  EXPECT_EQ(settled(Way::kUp, [] {}), LivenessAction::kNone);
-  EXPECT_EQ(settled(Way::kDown, [] {}), LivenessAction::kGiveUpSilent);
+  EXPECT_EQ(decide_by_deadline(Network::kUp, [] {}), LivenessAction::kNone);
+  EXPECT_EQ(decide_by_deadline(Network::kDown, [] {}), LivenessAction::kGiveUpSilent);
   EXPECT_LE(now_, stop + 3'100 * kMs);
-  EXPECT_EQ(settled(Way::kUp, [&] { detector_.OnConnectionReset(stop, 0, kStanding); }),
+  EXPECT_EQ(decide_by_deadline(Network::kUp, [&] { detector_.OnConnectionReset(stop, 0, kEstablished); }),
             LivenessAction::kGiveUpReplaced);
   EXPECT_LE(now_, stop + 3'100 * kMs);
-  EXPECT_EQ(settled(Way::kUp,
-                    [&] {
-                      RunUntil(stop + 2'900 * kMs, Way::kUp);
-                      detector_.OnCircuits(now_, now_, {0, kStanding, kStanding});
-                    }),
+  EXPECT_EQ(decide_by_deadline(Network::kUp,
+                               [&] {
+                                 RunUntil(stop + 2'900 * kMs, Network::kUp);
+                                 detector_.OnCircuitReport(now_, now_, {0, kEstablished, kEstablished});
+                               }),
             LivenessAction::kGiveUpReplaced);
 }
 
-TEST_F(FailureDetectorTest, AStandstillOfTheOwnProcessIsNoSilenceOfTheExchange) {
+TEST_F(FailureDetectorTest, KeepsCallsAfterStallOfOwnProcess) {
   now_ += 30 * kSecond;
-  // Whatever lies unread is looked at after the timers: nothing may be given up before it was asked for.
-  EXPECT_EQ(RunUntil(now_ + 2 * kSecond, Way::kUp), LivenessAction::kNone);
+  // Timers run before unread data is handled, so calls must not be given up before a sign of life was requested.
+  EXPECT_EQ(RunUntil(now_ + 2 * kSecond, Network::kUp), LivenessAction::kNone);
 }
 
 }  // namespace
