--- a/bench/door_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -5,19 +5,19 @@
 #include <string>
 #include <vector>
 
-#include "door/door.h"
+#include "admission/admission_controller.h"
 
-namespace croftrun::door {
+namespace croftrun::admission {
 namespace {
 
 void ACallAtTheDoor(benchmark::State& state) {
-  DoorSettings settings;
+  AdmissionSettings settings;
   settings.limiter.first = 64.0;
   settings.longest_pause_us = 2'000'000;
   settings.customers = {{}, {}};
-  Door door(settings);
+  AdmissionController controller(settings);
   const auto identities = static_cast<std::uint64_t>(state.range(0));
-  std::vector<Verdict> verdicts;
+  std::vector<AdmissionDecision> decisions;
   CallId call = 0;
   TimeUs now = 1'000'000;
   std::uint64_t draw = 88172645463325252ULL;
@@ -27,18 +27,18 @@
     draw ^= draw >> 7U;
     draw ^= draw << 17U;
     client = "client " + std::to_string(draw % identities);
-    verdicts.clear();
-    door.OnKnock({++call, client, "2100", static_cast<int>(draw & 1U), 1.0, 3'000'000}, now, &verdicts);
+    decisions.clear();
+    controller.OnRequest({++call, client, "2100", static_cast<int>(draw & 1U), 1.0, 3'000'000}, now, &decisions);
     now += 20;
-    for (std::size_t i = 0; i < verdicts.size(); ++i) {
-      if (verdicts[i].admitted) door.OnAnswered(verdicts[i].call, true, now, &verdicts);
+    for (std::size_t i = 0; i < decisions.size(); ++i) {
+      if (decisions[i].admitted) controller.OnAnswered(decisions[i].call, true, now, &decisions);
     }
   }
-  state.counters["table_bytes"] = static_cast<double>(door.table_bytes());
+  state.counters["table_bytes"] = static_cast<double>(controller.table_bytes());
 }
 BENCHMARK(ACallAtTheDoor)->Arg(100)->Arg(10'000)->Arg(1'000'000);
 
 }  // namespace
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
 
 BENCHMARK_MAIN();
--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -17,20 +17,20 @@
   void Release(const core::CircuitSet& set, const core::ReleaseInfo&) override {
     for (const core::CircuitNumber circuit : set.circuits) core->OnCircuitFree(set.group, circuit);
   }
-  void Probe(int) override {}
+  void ProbeGroup(int) override {}
   core::TrunkSetUp last;
 };
 
-class Caller final : public core::Subscriber {
+class Caller final : public core::CallOwner {
  public:
-  void OnFinal(CallId, const core::FinalAnswer&) override {}
-  void OnEnded(CallId, core::ReleaseCause) override {}
+  void OnFinalAnswer(CallId, const core::FinalAnswer&) override {}
+  void OnCallEnded(CallId, core::ReleaseCause) override {}
 };
 
-class Quiet final : public core::LogSink {
+class Quiet final : public core::Logger {
  public:
   void Write(core::LogLevel, std::string_view, CallId, std::string_view) override {}
-  bool Wants(core::LogLevel) const override { return false; }
+  bool IsEnabled(core::LogLevel) const override { return false; }
 };
 
 void ACallByDirectory(benchmark::State& state) {
@@ -39,7 +39,7 @@
   core::CoreSettings settings;
   settings.module.own_number = 0;
   CallClass one;
-  one.aim_us = 1'500'000;
+  one.target_delay_us = 1'500'000;
   one.deadline_us = 9'000'000;
   settings.module.classes = {one};
   settings.groups = {{1, 64}};
@@ -56,12 +56,12 @@
   core.OnDirectory(update);
   for (core::CircuitNumber c = 0; c < 64; ++c) core.OnCircuitFree(1, c);
   Caller caller;
-  core::Offer offer;
+  core::CallRequest offer;
   offer.called = "1100";
   offer.destination = 1;
-  offer.patience_us = 9'000'000;
+  offer.caller_timeout_us = 9'000'000;
   for (auto _ : state) {
-    const CallId id = core.Take(offer, &caller);
+    const CallId id = core.AcceptCall(offer, &caller);
     core.OnTrunkAnswered(id, trunks.last.attempt);
     core.HangUp(id);
   }
--- a/fuzz/rules_fuzz.cpp
+++ b/fuzz/rules_fuzz.cpp
@@ -17,7 +17,7 @@
 }
 
 croftrun::expr::Input Call() {
-  croftrun::core::Offer offer;
+  croftrun::core::CallRequest offer;
   offer.called = "2100200017";
   offer.calling = "aaln/310";
   croftrun::expr::Input input;
--- a/include/croftrun/call_controller.h
+++ b/include/croftrun/call_controller.h
@@ -19,26 +19,36 @@
 using ExchangeId = std::uint32_t;
 
 // What a repeat of a set-up may do.
-enum class Repeat { kIdempotent, kDeduplicated, kAtMostOnce };
-// Which exchanges discard a repeated set-up, for Repeat::kDeduplicated.
-enum class RepeatGroup { kAll, kZone, kNumber };
-enum class Shape { kMeshed, kGroups };
-enum class Discovery { kAutomatic, kSubscribe };
+enum class RetrySemantics { kIdempotent, kDeduplicated, kAtMostOnce };
+// Which exchanges discard a repeated set-up, for RetrySemantics::kDeduplicated.
+enum class DeduplicationScope { kAll, kZone, kNumber };
+enum class Topology { kMeshed, kGroups };
+enum class DiscoveryMode { kAutomatic, kSubscribe };
 // The figures of a load report, by meaning; the order is the one of Settings::report_fields.
-enum class ReportField { kUnknown, kSpare, kTotal, kBusy, kPending, kCpuShare, kWaitMs, kAllowed, kCutBy };
+enum class ReportField {
+  kUnknown,
+  kFreeCircuits,
+  kTotalCircuits,
+  kBusyWorkers,
+  kPendingSetUps,
+  kCpuShare,
+  kWaitMs,
+  kAllowedRate,
+  kLoadReduction
+};
 
 struct CallClass {
   std::string name;
-  Repeat repeat = Repeat::kIdempotent;
-  RepeatGroup group = RepeatGroup::kAll;
-  TimeUs window_us = 0;    // for kDeduplicated: how long a repeat is recognised
-  TimeUs aim_us = 0;       // set-up within this earns the full worth; 0: the deadline
-  TimeUs deadline_us = 0;  // callers try for this long; 0: unknown
+  RetrySemantics retry_semantics = RetrySemantics::kIdempotent;
+  DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
+  TimeUs deduplication_window_us = 0;  // for kDeduplicated: how long a repeat is recognised
+  TimeUs target_delay_us = 0;          // set-up within this earns the full worth; 0: the deadline
+  TimeUs deadline_us = 0;              // callers try for this long; 0: unknown
   double worth = 1.0;
   double late_worth = 0.0;  // share of the worth after the aim
   double width = 1.0;       // circuits taken on each group
   TimeUs holding_us = 0;    // mean holding time; 0: unknown
-  std::vector<int> pools;   // Shape::kGroups: the pools it may use; empty: any
+  std::vector<int> pools;   // Topology::kGroups: the pools it may use; empty: any
 };
 
 struct Customer {
@@ -48,34 +58,34 @@
 
 // Every field has a neutral default, so an embedder sets what it knows.
 struct Settings {
-  Shape shape = Shape::kMeshed;
-  Discovery discovery = Discovery::kAutomatic;
+  Topology topology = Topology::kMeshed;
+  DiscoveryMode discovery_mode = DiscoveryMode::kAutomatic;
   int own_number = -1;  // number of the own exchange; -1 with pools
   int own_zone = 0;
-  int senders = 1;  // how many softswitches send to these exchanges
+  int softswitch_count = 1;  // how many softswitches send to these exchanges
   std::vector<CallClass> classes;
   std::vector<Customer> customers;
   double over_quota_worth = 1.0;
   std::vector<ReportField> report_fields;
-  TimeUs release_us = 0;  // no resend within this of a timeout, reset or cancel
-  TimeUs repeat_us = 0;   // a waiting set-up is repeated after this, then at doubling gaps; 0: never
+  TimeUs resend_guard_us = 0;         // no resend within this of a timeout, reset or cancel
+  TimeUs retransmit_interval_us = 0;  // a waiting set-up is repeated after this, then at doubling gaps; 0: never
   TimeUs drain_grace_us = 0;
-  double cold_from = 1.0;      // a restarted exchange has at least this share of its capacity
-  TimeUs warm_up_us = 0;       // and all of it after this
-  double fall_multiple = 0.0;  // sent more than this multiple of its capacity ...
-  TimeUs fall_us = 0;          // ... for this long, it falls over; 0: never
-  TimeUs ask_within_us = 0;
-  int most_attempts = 1;
-  std::uint32_t most_held = 20000;
+  double warm_up_start_share = 1.0;  // a restarted exchange has at least this share of its capacity
+  TimeUs warm_up_us = 0;             // and all of it after this
+  double collapse_multiple = 0.0;    // sent more than this multiple of its capacity ...
+  TimeUs collapse_time_us = 0;       // ... for this long, it falls over; 0: never
+  TimeUs keep_alive_us = 0;
+  int max_attempts = 1;
+  std::uint32_t max_held_calls = 20000;
   bool may_cancel = false;
   bool may_probe = false;
-  bool may_tell_peers = false;
+  bool may_notify_peers = false;
   bool may_duplicate = false;
-  bool honours_pause = false;  // callers are told how long to stay away
-  TimeUs longest_pause_us = 0;
+  bool honours_retry_after = false;  // callers are told how long to stay away
+  TimeUs max_retry_after_us = 0;
   bool marks_redials = false;
   bool route_advice = false;
-  bool tells_wait = false;
+  bool reports_wait_time = false;
 };
 
 enum class ExchangeStatus : std::uint8_t { kGone = 0, kReady = 1, kDraining = 2 };
@@ -108,18 +118,18 @@
   int destination = -1;             // number of an exchange, or of the first-choice pool
   double width = 1.0;
   int via = -1;  // in transit: where it comes from; else the centre's advice, or -1
-  bool redialled = false;
+  bool is_redial = false;
   bool in_transit = false;
-  bool cut_before = false;
+  bool previously_cut = false;
 };
 
-enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot };
+enum class Outcome { kOk, kError, kRejected, kTimeout, kConnectFailed, kReset, kCancelled, kNotSent };
 // Why an attempt was turned away.
-enum class Cause {
+enum class RejectCause {
   kNone,
   kNoCircuit,
-  kTurnedBack,
-  kTurnedBackFull,
+  kCrankback,
+  kCrankbackProcessorFull,
   kProcessorFull,
   kLinesBusy,
   // With kConnectFailed: the one connection broke before it was open, and others show that the exchange lives.
@@ -131,57 +141,58 @@
   ExchangeId exchange = 0;
   int attempt = 0;
   Outcome outcome = Outcome::kOk;
-  Cause cause = Cause::kNone;
+  RejectCause cause = RejectCause::kNone;
   TimeUs wait_us = 0;  // stated by a full processor; 0: none
   TimeUs elapsed_us = 0;
   bool terminal = false;
   std::vector<float> report = {};
 };
 
-struct CallStands {
+struct CallEstablished {
   CallId call = 0;
   ExchangeId exchange = 0;
   int attempt = 0;
   TimeUs elapsed_us = 0;
 };
 
-struct CallerGone {
+struct CallAbandoned {
   CallId call = 0;
 };
 
-struct TimerDue {
+struct TimerExpired {
   std::uint64_t token = 0;
 };
 
-// The answer to a Probe, or (elapsed 0) the free circuits of an own group, unasked. With kConnectFailed, asked for or
-// not: connections to the exchange do not come up, which is no word of discovery.
-struct ReportHeard {
+// The answer to a SendProbe, or (elapsed 0) the free circuits of an own group, unasked. With kConnectFailed, asked for
+// or not: connections to the exchange do not come up, which is no word of discovery.
+struct LoadReportReceived {
   ExchangeId exchange = 0;
   Outcome outcome = Outcome::kOk;
   TimeUs elapsed_us = 0;
   std::vector<float> report = {};
 };
 
-using Event = std::variant<DirectoryUpdate, CallOffered, AttemptEnded, CallStands, CallerGone, TimerDue, ReportHeard>;
+using Event = std::variant<DirectoryUpdate, CallOffered, AttemptEnded, CallEstablished, CallAbandoned, TimerExpired,
+                           LoadReportReceived>;
 
 // ---- actions ----
-struct Send {
+struct SendSetUp {
   CallId call = 0;
   ExchangeId exchange = 0;
   TimeUs timeout_us = 0;  // 0: until the caller gives up
 };
-struct Cancel {
+struct CancelSetUp {
   CallId call = 0;
   int attempt = 0;
 };
-struct Probe {
+struct SendProbe {
   ExchangeId exchange = 0;
 };
-struct Refuse {
+struct RefuseCall {
   CallId call = 0;
-  TimeUs pause_us = 0;  // 0: no indication
+  TimeUs retry_after_us = 0;  // 0: no indication
 };
-struct Fail {
+struct FailCall {
   CallId call = 0;
 };
 struct SetTimer {
@@ -189,14 +200,15 @@
   std::uint64_t token = 0;
 };
 struct FetchDirectory {};
-struct Subscribe {
-  bool on = true;
+struct SubscribeDirectory {
+  bool enabled = true;
 };
-struct Log {
+struct WriteLog {
   std::string text;
 };
 
-using Action = std::variant<Send, Cancel, Probe, Refuse, Fail, SetTimer, FetchDirectory, Subscribe, Log>;
+using Action = std::variant<SendSetUp, CancelSetUp, SendProbe, RefuseCall, FailCall, SetTimer, FetchDirectory,
+                            SubscribeDirectory, WriteLog>;
 
 class CallController {
  public:
--- a/src/door/clients.h
+++ b/src/admission/client_table.h
@@ -2,8 +2,8 @@
 //
 // Four places a set; a newcomer takes that of whoever was seen longest ago, of those who never showed themselves first.
 // Who came back as told, or was served and comes again a while later, has shown itself.
-#ifndef CROFTRUN_DOOR_CLIENTS_H_
-#define CROFTRUN_DOOR_CLIENTS_H_
+#ifndef CROFTRUN_ADMISSION_CLIENT_TABLE_H_
+#define CROFTRUN_ADMISSION_CLIENT_TABLE_H_
 
 #include <algorithm>
 #include <array>
@@ -11,48 +11,48 @@
 #include <cstdint>
 #include <vector>
 
+#include "admission/token_bucket.h"
 #include "croftrun/call_controller.h"
-#include "door/bucket.h"
 
-namespace croftrun::door {
+namespace croftrun::admission {
 
 struct ClientSettings {
   std::size_t most = 16'384;
-  TimeUs prove_us = 10'000'000;        // served so long ago, it has shown itself when it comes again
-  TimeUs forget_us = 600'000'000;      // not seen for so long, it is a stranger again
-  BucketSettings limit = {0.0, 10.0};  // of each that has shown itself
+  TimeUs verify_us = 10'000'000;            // served so long ago, it has shown itself when it comes again
+  TimeUs forget_us = 600'000'000;           // not seen for so long, it is a stranger again
+  TokenBucketSettings limit = {0.0, 10.0};  // of each that has shown itself
 };
 
-class Clients {
+class ClientTable {
  public:
   struct Client {
     std::uint64_t who = 0;
     TimeUs seen = 0, served = 0;  // served: first; 0: never
-    Bucket bucket;
-    bool shown = false;
+    TokenBucket bucket;
+    bool verified = false;
   };
 
-  explicit Clients(const ClientSettings& settings)
+  explicit ClientTable(const ClientSettings& settings)
       : settings_(settings), sets_(std::bit_ceil(std::max<std::size_t>(1, settings.most / kPlaces))) {}
 
   // The one who comes, now known to be here. Valid until the next call.
-  Client& Come(std::uint64_t who, TimeUs now) {
+  Client& FindOrInsert(std::uint64_t who, TimeUs now) {
     auto& set = sets_[(who >> 20U) & (sets_.size() - 1)];
     for (Client& client : set) {
       if (client.who != who || client.seen == 0) continue;
-      if (now - client.seen > settings_.forget_us) client.shown = false;
-      if (client.served != 0 && now - client.served >= settings_.prove_us) client.shown = true;
+      if (now - client.seen > settings_.forget_us) client.verified = false;
+      if (client.served != 0 && now - client.served >= settings_.verify_us) client.verified = true;
       client.seen = now;
       return client;
     }
     Client& last = *std::min_element(set.begin(), set.end(), [](const Client& a, const Client& b) {
-      return a.shown != b.shown ? b.shown : a.seen < b.seen;
+      return a.verified != b.verified ? b.verified : a.seen < b.seen;
     });
     last = {who, now, 0, {settings_.limit.burst, now}, false};
     return last;
   }
   // A call of its own bucket.
-  bool TakeToken(Client& client, TimeUs now) const { return client.bucket.Take(settings_.limit, now); }
+  bool TakeToken(Client& client, TimeUs now) const { return client.bucket.TryConsume(settings_.limit, now); }
   std::size_t bytes() const { return sets_.size() * sizeof(sets_[0]); }
 
  private:
@@ -61,6 +61,6 @@
   std::vector<std::array<Client, kPlaces>> sets_;
 };
 
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
 
-#endif  // CROFTRUN_DOOR_CLIENTS_H_
+#endif  // CROFTRUN_ADMISSION_CLIENT_TABLE_H_
--- a/src/door/limiter.h
+++ b/src/admission/concurrency_limiter.h
@@ -3,25 +3,26 @@
 // The least delay seen lately is what an idle network takes; a delay well above it means that calls queue somewhere
 // behind the door, where nobody can be served before another. The limit then shrinks by a tenth a span, else it grows
 // by what was used of it (after TCP Vegas; Brakmo and Peterson, 1995).
-#ifndef CROFTRUN_DOOR_LIMITER_H_
-#define CROFTRUN_DOOR_LIMITER_H_
+#ifndef CROFTRUN_ADMISSION_CONCURRENCY_LIMITER_H_
+#define CROFTRUN_ADMISSION_CONCURRENCY_LIMITER_H_
 
 #include <algorithm>
 
 #include "croftrun/call_controller.h"
 
-namespace croftrun::door {
+namespace croftrun::admission {
 
-struct LimiterSettings {
+struct ConcurrencyLimiterSettings {
   double least = 8.0, most = 4096.0, first = 64.0;
   double queued = 2.0;            // a delay of so many times the least one is a queue
   TimeUs span_us = 100'000;       // judged over this long
   TimeUs forget_us = 30'000'000;  // the least delay is of this long at most
 };
 
-class Limiter {
+class ConcurrencyLimiter {
  public:
-  explicit Limiter(const LimiterSettings& settings) : settings_(settings), limit_(settings.first) {}
+  explicit ConcurrencyLimiter(const ConcurrencyLimiterSettings& settings)
+      : settings_(settings), limit_(settings.first) {}
 
   std::size_t limit() const { return static_cast<std::size_t>(limit_); }
   // Mean set-up delay; 0 before the first.
@@ -55,13 +56,13 @@
   }
 
  private:
-  LimiterSettings settings_;
+  ConcurrencyLimiterSettings settings_;
   double limit_, delay_ = 0.0, sum_ = 0.0;
   std::uint64_t count_ = 0;
   bool full_ = false;
   TimeUs least_us_ = 0, least_at_ = 0, span_began_ = 0;
 };
 
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
 
-#endif  // CROFTRUN_DOOR_LIMITER_H_
+#endif  // CROFTRUN_ADMISSION_CONCURRENCY_LIMITER_H_
--- a/src/door/fair_queue.cpp
+++ b/src/admission/fair_queue.cpp
@@ -1,15 +1,15 @@
-#include "door/fair_queue.h"
+#include "admission/fair_queue.h"
 
 #include <algorithm>
 
-namespace croftrun::door {
+namespace croftrun::admission {
 
 double FairQueue::WeightOf(int customer) const {
   const auto index = static_cast<std::size_t>(customer);
   return customer >= 0 && index < weights_.size() && weights_[index] > 0.0 ? weights_[index] : 1.0;
 }
 
-std::optional<Waiting> FairQueue::Push(const Waiting& waiting, std::uint64_t key) {
+std::optional<QueuedCall> FairQueue::Push(const QueuedCall& waiting, std::uint64_t key) {
   Customer& customer = customers_[waiting.customer];
   if (customer.waiting == 0) turns_.push_back(waiting.customer);
   const auto [found, fresh] = customer.by_key.try_emplace(key);
@@ -22,18 +22,18 @@
   calls_.emplace(waiting.call, Place{waiting.customer, flow, at});
   expiry_.insert({waiting.until, waiting.call});
   if (calls_.size() <= most_) return std::nullopt;
-  return GiveWay();
+  return EvictNewest();
 }
 
-std::optional<Waiting> FairQueue::GiveWay() {
+std::optional<QueuedCall> FairQueue::EvictNewest() {
   if (lengths_.empty()) return std::nullopt;
   const auto [length, whose, longest] = *lengths_.rbegin();
   const auto of = customers_.at(whose).by_key.at(longest);
   return TakeOut({whose, of, std::prev(of->waiting.end())});
 }
 
-Waiting FairQueue::TakeOut(const Place place) {
-  const Waiting waiting = *place.at;
+QueuedCall FairQueue::TakeOut(const Place place) {
+  const QueuedCall waiting = *place.at;
   Customer& customer = customers_.at(place.customer);
   const std::uint64_t key = place.flow->key;
   expiry_.erase({waiting.until, waiting.call});
@@ -54,7 +54,7 @@
   return waiting;
 }
 
-std::optional<Waiting> FairQueue::Pop() {
+std::optional<QueuedCall> FairQueue::Pop() {
   while (!turns_.empty()) {
     const int number = turns_.front();
     Customer& customer = customers_.at(number);
@@ -81,7 +81,7 @@
     flow->deficit -= cost;
     customer.deficit -= cost;
     const bool more = flow->waiting.size() > 1;
-    const Waiting next = TakeOut({number, flow, flow->waiting.begin()});
+    const QueuedCall next = TakeOut({number, flow, flow->waiting.begin()});
     if (more) {
       Customer& still = customers_.at(number);
       still.flows.splice(still.flows.end(), still.flows, flow);
@@ -91,7 +91,7 @@
   return std::nullopt;
 }
 
-std::optional<Waiting> FairQueue::Expired(TimeUs now) {
+std::optional<QueuedCall> FairQueue::Expired(TimeUs now) {
   if (expiry_.empty() || expiry_.begin()->first > now) return std::nullopt;
   return TakeOut(calls_.at(expiry_.begin()->second));
 }
@@ -108,4 +108,4 @@
   return true;
 }
 
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
--- a/src/door/fair_queue.h
+++ b/src/admission/fair_queue.h
@@ -1,7 +1,7 @@
 // Calls that wait at the door, fairly: deficit round robin over customers by weight, within each over its clients
 // (Shreedhar and Varghese, 1996). Bounded; when full, the longest queue gives up its newest. No I/O, no clock.
-#ifndef CROFTRUN_DOOR_FAIR_QUEUE_H_
-#define CROFTRUN_DOOR_FAIR_QUEUE_H_
+#ifndef CROFTRUN_ADMISSION_FAIR_QUEUE_H_
+#define CROFTRUN_ADMISSION_FAIR_QUEUE_H_
 
 #include <cstdint>
 #include <deque>
@@ -14,16 +14,16 @@
 
 #include "croftrun/call_controller.h"
 
-namespace croftrun::door {
+namespace croftrun::admission {
 
-struct Waiting {
+struct QueuedCall {
   CallId call = 0;
   std::uint64_t who = 0, what = 0;  // the client; its call
   int customer = 0;
   TimeUs since = 0;
   TimeUs until = 0;   // its answer is of use until then
   double cost = 1.0;  // circuits
-  bool stranger = false;
+  bool unverified = false;
 };
 
 class FairQueue {
@@ -34,13 +34,13 @@
   void SetWeights(std::vector<double> weights) { weights_ = std::move(weights); }
   std::size_t size() const { return calls_.size(); }
   // Takes it in. Full: somebody gives way, perhaps itself, and is returned. Clients are told apart by `flow`.
-  std::optional<Waiting> Push(const Waiting& waiting, std::uint64_t flow);
+  std::optional<QueuedCall> Push(const QueuedCall& waiting, std::uint64_t flow);
   // The newest of the longest queue, taken out.
-  std::optional<Waiting> GiveWay();
+  std::optional<QueuedCall> EvictNewest();
   // The next one.
-  std::optional<Waiting> Pop();
+  std::optional<QueuedCall> Pop();
   // One whose time is up by `now`; nothing more is due when there is none.
-  std::optional<Waiting> Expired(TimeUs now);
+  std::optional<QueuedCall> Expired(TimeUs now);
   std::optional<TimeUs> NextExpiry() const;
   // Hung up while it waited.
   bool Remove(CallId call);
@@ -49,7 +49,7 @@
   struct Flow {
     std::uint64_t key = 0;
     double deficit = 0.0;
-    std::list<Waiting> waiting;
+    std::list<QueuedCall> waiting;
   };
   struct Customer {
     double deficit = 0.0;
@@ -61,10 +61,10 @@
   struct Place {
     int customer;
     std::list<Flow>::iterator flow;
-    std::list<Waiting>::iterator at;
+    std::list<QueuedCall>::iterator at;
   };
   double WeightOf(int customer) const;
-  Waiting TakeOut(Place place);  // by value: its own entry goes
+  QueuedCall TakeOut(Place place);  // by value: its own entry goes
 
   std::size_t most_;
   std::vector<double> weights_;
@@ -75,6 +75,6 @@
   std::set<std::tuple<std::size_t, int, std::uint64_t>> lengths_;  // of the flows, to find the longest
 };
 
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
 
-#endif  // CROFTRUN_DOOR_FAIR_QUEUE_H_
+#endif  // CROFTRUN_ADMISSION_FAIR_QUEUE_H_
--- a/src/door/promises.cpp
+++ b/src/admission/retry_reservations.cpp
@@ -1,37 +1,37 @@
-#include "door/promises.h"
+#include "admission/retry_reservations.h"
 
 #include <algorithm>
 #include <bit>
 
-namespace croftrun::door {
+namespace croftrun::admission {
 
-Promises::Promises(const PromiseSettings& settings)
+RetryReservations::RetryReservations(const RetryReservationSettings& settings)
     : settings_(settings),
       entries_(std::bit_ceil(std::max<std::size_t>(kProbes, settings.most * 2))),
       spans_(settings.horizon_us / settings.span_us + 2) {}
 
-Promises::Span& Promises::SpanOf(std::uint64_t number) {
+RetryReservations::Span& RetryReservations::SpanOf(std::uint64_t number) {
   Span& span = spans_[number % spans_.size()];
   if (span.number != number) span = {number, 0};
   return span;
 }
 
-Promises::Comes Promises::Look(std::uint64_t who, TimeUs now, TimeUs* at) {
+RetryReservations::ArrivalKind RetryReservations::ClassifyArrival(std::uint64_t who, TimeUs now, TimeUs* at) {
   for (std::size_t i = 0; i < kProbes; ++i) {
     Entry& entry = entries_[(Start(who) + i) & (entries_.size() - 1)];
     if (entry.who != who || Over(entry, now)) continue;
     if (entry.at > now + settings_.early_us) {
       *at = entry.at;
-      return Comes::kEarly;
+      return ArrivalKind::kEarly;
     }
     entry = {};
-    return Comes::kAsTold;
+    return ArrivalKind::kAsTold;
   }
-  return Comes::kUnpromised;
+  return ArrivalKind::kUnpromised;
 }
 
-std::optional<TimeUs> Promises::Make(std::uint64_t who, TimeUs earliest, TimeUs latest, double a_span, double draw,
-                                     TimeUs now) {
+std::optional<TimeUs> RetryReservations::Reserve(std::uint64_t who, TimeUs earliest, TimeUs latest, double a_span,
+                                                 double draw, TimeUs now) {
   Entry* room = nullptr;
   for (std::size_t i = 0; i < kProbes; ++i) {
     Entry& entry = entries_[(Start(who) + i) & (entries_.size() - 1)];
@@ -54,4 +54,4 @@
   return std::nullopt;
 }
 
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
--- a/src/door/bucket.h
+++ b/src/admission/token_bucket.h
@@ -1,24 +1,24 @@
 // A rate with bursts. No clock.
-#ifndef CROFTRUN_DOOR_BUCKET_H_
-#define CROFTRUN_DOOR_BUCKET_H_
+#ifndef CROFTRUN_ADMISSION_TOKEN_BUCKET_H_
+#define CROFTRUN_ADMISSION_TOKEN_BUCKET_H_
 
 #include <algorithm>
 
 #include "croftrun/call_controller.h"
 
-namespace croftrun::door {
+namespace croftrun::admission {
 
-struct BucketSettings {
+struct TokenBucketSettings {
   double per_s = 0.0;  // 0: no limit
   double burst = 100.0;
 };
 
-struct Bucket {
+struct TokenBucket {
   double tokens = 0.0;
   TimeUs filled = 0;  // 0: never, and what is in it was put there
 
   // A call's worth; false: there is none.
-  bool Take(const BucketSettings& limit, TimeUs now) {
+  bool TryConsume(const TokenBucketSettings& limit, TimeUs now) {
     if (limit.per_s <= 0.0) return true;
     if (filled != 0) tokens = std::min(limit.burst, tokens + static_cast<double>(now - filled) * limit.per_s / 1e6);
     filled = now;
@@ -28,6 +28,6 @@
   }
 };
 
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
 
-#endif  // CROFTRUN_DOOR_BUCKET_H_
+#endif  // CROFTRUN_ADMISSION_TOKEN_BUCKET_H_
--- a/src/call_controller.cpp
+++ b/src/call_controller.cpp
@@ -206,15 +206,15 @@
   Impl(const Settings& settings, std::uint64_t seed, TimeUs now, std::vector<Action>* actions)
       : settings_(settings), seed_(seed), random_(seed) {
     for (const CallClass& c : settings_.classes) {
-      const TimeUs aim = c.aim_us > 0 ? c.aim_us : c.deadline_us;
+      const TimeUs aim = c.target_delay_us > 0 ? c.target_delay_us : c.deadline_us;
       if (aim > 0) shortest_aim_ = shortest_aim_ > 0 ? std::min(shortest_aim_, aim) : aim;
     }
     if (shortest_aim_ == 0) shortest_aim_ = kSecond;
-    trial_gap_ = std::max(kTrialGap, kTrialGapOfAll * static_cast<TimeUs>(std::max(1, settings.senders)));
+    trial_gap_ = std::max(kTrialGap, kTrialGapOfAll * static_cast<TimeUs>(std::max(1, settings.softswitch_count)));
     quota_.assign(settings_.customers.size(), Fading(kRateTau));
     actions_ = actions;
     now_ = now;
-    if (settings_.discovery == Discovery::kSubscribe) actions_->push_back(Subscribe{true});
+    if (settings_.discovery_mode == DiscoveryMode::kSubscribe) actions_->push_back(SubscribeDirectory{true});
   }
 
   void Handle(TimeUs now, const Event& event, std::vector<Action>* actions) {
@@ -239,7 +239,7 @@
   }
 
   bool Own(const Exchange& e) const {
-    return settings_.shape == Shape::kMeshed && e.entry.number == settings_.own_number;
+    return settings_.topology == Topology::kMeshed && e.entry.number == settings_.own_number;
   }
 
   // Share of its capacity that a restarted exchange can be trusted with: the least it may start with, then
@@ -248,7 +248,7 @@
   double WarmthSince(TimeUs start) const {
     if (start == 0 || settings_.warm_up_us == 0 || now_ >= start + settings_.warm_up_us) return 1.0;
     const double grown = now_ > start ? AsDouble(now_ - start) / AsDouble(settings_.warm_up_us) : 0.0;
-    return settings_.cold_from + (1.0 - settings_.cold_from) * grown;
+    return settings_.warm_up_start_share + (1.0 - settings_.warm_up_start_share) * grown;
   }
 
   // ActNum of the design page.
@@ -311,7 +311,7 @@
   double OwnCut() {
     const double lost = lost_.At(now_) / (lost_.At(now_) + stood_.At(now_) + kFewSetUps);
     const double cut = std::clamp((lost - kCalm) / kCalm, 0.0, kCutMost);
-    const Exchange* own = settings_.shape == Shape::kMeshed ? ByNumber(settings_.own_number) : nullptr;
+    const Exchange* own = settings_.topology == Topology::kMeshed ? ByNumber(settings_.own_number) : nullptr;
     return std::max({cut, own != nullptr ? 1.0 - Warmth(*own) : 0.0, 1.0 - WarmthSince(own_lost_at_)});
   }
 
@@ -322,15 +322,15 @@
       const double value = static_cast<double>(report[i]);
       const ReportField field = settings_.report_fields[i];
       if (!std::isfinite(value) || value < 0.0) continue;
-      if (field == ReportField::kSpare) e.spare = value;
-      if (field == ReportField::kTotal) e.total = value;
+      if (field == ReportField::kFreeCircuits) e.spare = value;
+      if (field == ReportField::kTotalCircuits) e.total = value;
       if (unasked) continue;
-      if (field == ReportField::kPending) {
+      if (field == ReportField::kPendingSetUps) {
         e.queue = value;
         e.queue_at = now_;
-      } else if (field == ReportField::kCutBy) {
+      } else if (field == ReportField::kLoadReduction) {
         e.reported_cut.Set(now_, std::min(1.0, value));
-      } else if (field == ReportField::kAllowed) {
+      } else if (field == ReportField::kAllowedRate) {
         // The rate for all senders tells no sender its part; a dip against the usual tells of pressure.
         e.usual_allowed = std::max(value, e.usual_allowed + kUsualEase * (value - e.usual_allowed));
         e.allowed_cut.Set(now_, std::max(0.0, 1.0 - value / (kAllowedDip * e.usual_allowed + 1e-9)));
@@ -347,14 +347,15 @@
   }
 
   bool MayUse(const Call& call, const Exchange& e) const {
-    if (settings_.shape != Shape::kGroups) return true;
+    if (settings_.topology != Topology::kGroups) return true;
     const auto& pools = ClassOf(call).pools;
     return pools.empty() || std::find(pools.begin(), pools.end(), e.entry.number) != pools.end();
   }
 
   bool MayBeTandem(const Call& call, Exchange& e) {
     return call.tandems < 2 && !Own(e) && MayUse(call, e) && MaySendTo(call, e) &&
-           call.tried.count(e.entry.exchange) == 0 && (settings_.shape != Shape::kMeshed || CutFor(e) <= kCutStep);
+           call.tried.count(e.entry.exchange) == 0 &&
+           (settings_.topology != Topology::kMeshed || CutFor(e) <= kCutStep);
   }
 
   // The ranking ignores the second leg, which nobody tells: the chance that it lets a call through, from what
@@ -385,7 +386,7 @@
   // them a sender of a large network sends too seldom. A caller has one draw: a held call is routed anew at
   // each event, and with a draw each time any thinning lets it through at last.
   Exchange* PickTandem(const Call& call, Exchange* destination) {
-    const bool meshed = settings_.shape == Shape::kMeshed && destination != nullptr;
+    const bool meshed = settings_.topology == Topology::kMeshed && destination != nullptr;
     if (meshed && !call.planned) {
       const double back = over_.back.At(now_);
       const double turned = back / (back + over_.stood.At(now_) + kLegPrior);
@@ -425,9 +426,9 @@
     if (call.out || call.stands) return;
     if (call.hold_until > 0 && call.hold_until <= std::min(now_, call.not_before)) Unhold(id, call);
     Exchange* destination = ByNumber(call.offer.destination);
-    const bool meshed = settings_.shape == Shape::kMeshed;
+    const bool meshed = settings_.topology == Topology::kMeshed;
     if (meshed && (destination == nullptr || Own(*destination))) return Answer(id, call, false);
-    if (call.attempts >= settings_.most_attempts || LateAnyway(call)) return Answer(id, call, call.attempts > 0);
+    if (call.attempts >= settings_.max_attempts || LateAnyway(call)) return Answer(id, call, call.attempts > 0);
     const bool direct_open = destination != nullptr && MayUse(call, *destination) && MaySendTo(call, *destination);
     if (call.offer.in_transit) return RouteTransit(id, call, direct_open ? destination : nullptr);
     if (!call.admitted) {
@@ -504,7 +505,7 @@
 
   TimeUs Aim(const Call& call) const {
     const CallClass& c = ClassOf(call);
-    const TimeUs aim = c.aim_us > 0 ? c.aim_us : c.deadline_us;
+    const TimeUs aim = c.target_delay_us > 0 ? c.target_delay_us : c.deadline_us;
     return aim > 0 ? aim : kSecond;
   }
 
@@ -585,13 +586,14 @@
     if (e.entry.status != ExchangeStatus::kReady || now_ < e.full_until || now_ < own_down_until_) return false;
     if (!call.may_have_run) return true;
     const CallClass& c = ClassOf(call);
-    if (c.repeat == Repeat::kIdempotent) return true;
-    if (c.repeat == Repeat::kAtMostOnce || now_ > call.ran_sent + c.window_us) return false;
+    if (c.retry_semantics == RetrySemantics::kIdempotent) return true;
+    if (c.retry_semantics == RetrySemantics::kAtMostOnce || now_ > call.ran_sent + c.deduplication_window_us)
+      return false;
     const auto ran = exchanges_.find(call.ran_at);
     if (ran == exchanges_.end()) return false;
-    if (c.group == RepeatGroup::kAll) return true;
-    return c.group == RepeatGroup::kZone ? ran->second.entry.zone == e.entry.zone
-                                         : ran->second.entry.number == e.entry.number;
+    if (c.deduplication_scope == DeduplicationScope::kAll) return true;
+    return c.deduplication_scope == DeduplicationScope::kZone ? ran->second.entry.zone == e.entry.zone
+                                                              : ran->second.entry.number == e.entry.number;
   }
 
   // The cold budget: this sender's part of what a restarted exchange can take, from the rate at which warm
@@ -606,8 +608,8 @@
       rate += other.sent.PerSecond(now_);
       warm += 1.0;
     }
-    const double part = std::max(rate / warm, 1.0 / std::max(1, settings_.senders)) * warmth;
-    const double multiple = settings_.fall_multiple > 0.0 ? kColdMargin * settings_.fall_multiple : 2.0;
+    const double part = std::max(rate / warm, 1.0 / std::max(1, settings_.softswitch_count)) * warmth;
+    const double multiple = settings_.collapse_multiple > 0.0 ? kColdMargin * settings_.collapse_multiple : 2.0;
     e.cold_tokens += multiple * part * AsDouble(now_ - e.cold_at) / AsDouble(kSecond);
     // By chance two calls come close together: half warm and on, a sender saves up towards the second.
     e.cold_tokens = std::min(std::max(1.0, 2.0 * warmth), e.cold_tokens);
@@ -635,7 +637,7 @@
       const auto number = numbers_.find(call.offer.number_called);
       if (number != numbers_.end()) number->second.last_send = now_;
     }
-    actions_->push_back(Send{id, e.entry.exchange, until - now_});
+    actions_->push_back(SendSetUp{id, e.entry.exchange, until - now_});
   }
 
   // The one path of every final answer. A refusal invites a repeat, so it is given only where one is legal.
@@ -643,12 +645,13 @@
     if (call.out || call.stands) return;
     const CallClass& c = ClassOf(call);
     RememberUnserved(call);
-    const bool refusable = !call.may_have_run || c.repeat == Repeat::kIdempotent ||
-                           (c.repeat == Repeat::kDeduplicated && c.group == RepeatGroup::kAll);
+    const bool refusable =
+        !call.may_have_run || c.retry_semantics == RetrySemantics::kIdempotent ||
+        (c.retry_semantics == RetrySemantics::kDeduplicated && c.deduplication_scope == DeduplicationScope::kAll);
     if (failed || !refusable) {
-      actions_->push_back(Fail{id});
+      actions_->push_back(FailCall{id});
     } else {
-      actions_->push_back(Refuse{id, PauseFor(call)});
+      actions_->push_back(RefuseCall{id, PauseFor(call)});
     }
     Forget(id);
   }
@@ -656,8 +659,8 @@
   // Where callers heed it, a call refused for want of room is told to stay away as long as they will.
   TimeUs PauseFor(const Call& call) {
     Exchange* to = ByNumber(call.offer.destination);
-    const bool asks = settings_.honours_pause && !call.offer.in_transit && to != nullptr && !HasRoom(*to);
-    return asks ? settings_.longest_pause_us : 0;
+    const bool asks = settings_.honours_retry_after && !call.offer.in_transit && to != nullptr && !HasRoom(*to);
+    return asks ? settings_.max_retry_after_us : 0;
   }
 
   void Unhold(CallId id, Call& call) {
@@ -679,7 +682,7 @@
 
   void On(const DirectoryUpdate& update) {
     if (update.kind == DirectoryKind::kFailed) {
-      if (settings_.discovery == Discovery::kSubscribe) {
+      if (settings_.discovery_mode == DiscoveryMode::kSubscribe) {
         const double wait = AsDouble(kSecond) * (1.0 + random_.Unit());
         actions_->push_back(SetTimer{static_cast<TimeUs>(wait), kSubscribeToken});
       }
@@ -738,12 +741,12 @@
     const auto customer = static_cast<std::size_t>(offer.customer);
     if (!offer.in_transit && customer < quota_.size()) {
       quota_[customer].Add(now_, 1.0);
-      const double quota = settings_.customers[customer].quota_per_s / std::max(1, settings_.senders);
+      const double quota = settings_.customers[customer].quota_per_s / std::max(1, settings_.softswitch_count);
       call.over_quota = quota > 0.0 && random_.Unit() * quota_[customer].PerSecond(now_) > quota;
     }
     // A pair without a group, or with one too narrow for the call, is planned over a tandem: its calls
     // overflow nothing.
-    const Exchange* to = settings_.shape == Shape::kMeshed ? ByNumber(offer.destination) : nullptr;
+    const Exchange* to = settings_.topology == Topology::kMeshed ? ByNumber(offer.destination) : nullptr;
     call.planned = !offer.in_transit && to != nullptr && to->total >= 0.0 && to->total < call.offer.width;
     const double holding = std::max(1.0, AsDouble(ClassOf(call).holding_us));
     call.density = Worth(call) / (call.offer.width * holding);
@@ -762,7 +765,7 @@
     return at;
   }
 
-  void On(const CallStands& stands) {
+  void On(const CallEstablished& stands) {
     Exchange* e = Find(stands.exchange);
     const TimeUs sent_at = Settle(stands.call, stands.attempt, e);
     stood_.Add(now_, 1.0);
@@ -822,8 +825,8 @@
       Forget(ended.call);
     } else {
       call->out = false;
-      const bool never_ran = ended.outcome == Outcome::kFull || ended.outcome == Outcome::kConnectFailed ||
-                             ended.outcome == Outcome::kMoot;
+      const bool never_ran = ended.outcome == Outcome::kRejected || ended.outcome == Outcome::kConnectFailed ||
+                             ended.outcome == Outcome::kNotSent;
       if (!never_ran && !call->may_have_run) {
         call->may_have_run = true;
         call->ran_at = ended.exchange;
@@ -841,7 +844,7 @@
     char text[160];
     std::snprintf(text, sizeof(text), "exchange number %d pressed: keeping back %.0f%%, delay %.0f ms, %zu unanswered",
                   e.entry.number, 100.0 * cut, e.delay / 1000.0, e.unanswered.size());
-    actions_->push_back(Log{text});
+    actions_->push_back(WriteLog{text});
   }
 
   // Symptom: set-ups lost in a row. None follows for 1, 2, 4 ... s, up to the trial gap, so that the queue of
@@ -863,7 +866,7 @@
     Exchange* pressed = &e;
     // Callers of short patience end a set-up before it tells anything of the far end.
     const double weight = std::min(1.0, AsDouble(ended.elapsed_us) / AsDouble(shortest_aim_));
-    if (!direct && ended.outcome != Outcome::kMoot) NoteLeg(*call, e, &Leg::back);
+    if (!direct && ended.outcome != Outcome::kNotSent) NoteLeg(*call, e, &Leg::back);
     if (direct && call != nullptr && FailedOrBroke(ended)) e.direct.back.Add(now_, 1.0);
     switch (ended.outcome) {
       case Outcome::kTimeout:
@@ -875,14 +878,14 @@
         if (direct && weight > kRowWeight) Rest(e, 0);
         break;
       case Outcome::kConnectFailed:
-        if (ended.cause == Cause::kConnectionLost) break;
+        if (ended.cause == RejectCause::kConnectionLost) break;
         e.lost_at = now_;
         e.full_until = now_ + kFullBackOff;
         break;
-      case Outcome::kFull:
-        if (ended.cause == Cause::kTurnedBackFull && call != nullptr) {
+      case Outcome::kRejected:
+        if (ended.cause == RejectCause::kCrankbackProcessorFull && call != nullptr) {
           pressed = ByNumber(call->offer.destination);
-        } else if (ended.cause != Cause::kProcessorFull) {
+        } else if (ended.cause != RejectCause::kProcessorFull) {
           break;
         }
         lost_.Add(now_, 1.0);
@@ -890,16 +893,16 @@
         MoveCut(pressed->cut, kLostSteps * kCutStep);
         Rest(*pressed, ended.wait_us);
         break;
-      case Outcome::kMoot:
-        if (ended.cause == Cause::kProcessorFull) {
+      case Outcome::kNotSent:
+        if (ended.cause == RejectCause::kProcessorFull) {
           own_down_until_ = now_ + kFullBackOff;
           own_lost_at_ = now_;
-        } else if (ended.cause == Cause::kNoCircuit) {
+        } else if (ended.cause == RejectCause::kNoCircuit) {
           e.spare = 0.0;
         }
         break;
       case Outcome::kError:
-        if (ended.cause == Cause::kLinesBusy && call != nullptr) NoteNumber(call->offer.number_called, true);
+        if (ended.cause == RejectCause::kLinesBusy && call != nullptr) NoteNumber(call->offer.number_called, true);
         break;
       default:
         break;
@@ -913,12 +916,12 @@
     Exchange* e = Find(ended.exchange);
     if (!FailedOrBroke(ended) || e == nullptr) return false;
     const double stood = e->direct.stood.At(now_) + kLegPrior;
-    return !call.offer.in_transit && ClassOf(call).repeat == Repeat::kIdempotent &&
+    return !call.offer.in_transit && ClassOf(call).retry_semantics == RetrySemantics::kIdempotent &&
            stood >= kFailsMost * (stood + e->direct.back.At(now_));
   }
 
   static bool FailedOrBroke(const AttemptEnded& ended) {
-    return ended.outcome == Outcome::kReset || (ended.outcome == Outcome::kError && ended.cause == Cause::kNone);
+    return ended.outcome == Outcome::kReset || (ended.outcome == Outcome::kError && ended.cause == RejectCause::kNone);
   }
 
   // The attempt is over without a final answer: another route, the same one again, or an answer.
@@ -926,27 +929,27 @@
     const bool timed_out = ended.outcome == Outcome::kTimeout;
     const bool again = direct && FailsNowAndThen(call, ended);
     if (timed_out || ended.outcome == Outcome::kReset || ended.outcome == Outcome::kCancelled) {
-      call.not_before = now_ + settings_.release_us;
+      call.not_before = now_ + settings_.resend_guard_us;
       if (call.offer.in_transit || (direct && !again) || timed_out) return Answer(id, call, true);
     }
     if (ended.outcome == Outcome::kError && !again) return Answer(id, call, true);
     // The exchange is none the worse for a connection that broke before it was open, and it has seen nothing.
-    if (again || ended.cause == Cause::kConnectionLost) call.tried.erase(ended.exchange);
-    if (ended.outcome == Outcome::kFull && (direct || ended.cause == Cause::kTurnedBackFull))
+    if (again || ended.cause == RejectCause::kConnectionLost) call.tried.erase(ended.exchange);
+    if (ended.outcome == Outcome::kRejected && (direct || ended.cause == RejectCause::kCrankbackProcessorFull))
       return Answer(id, call, false);
-    if (ended.outcome == Outcome::kMoot && ended.cause == Cause::kNoCircuit) call.tried.erase(ended.exchange);
+    if (ended.outcome == Outcome::kNotSent && ended.cause == RejectCause::kNoCircuit) call.tried.erase(ended.exchange);
     Route(id, call);
   }
 
-  void On(const CallerGone& gone) {
+  void On(const CallAbandoned& gone) {
     const auto found = calls_.find(gone.call);
     if (found != calls_.end()) RememberUnserved(found->second);
     Forget(gone.call);
   }
 
-  void On(const TimerDue& timer) {
+  void On(const TimerExpired& timer) {
     if (timer.token == kSubscribeToken) {
-      actions_->push_back(Subscribe{true});
+      actions_->push_back(SubscribeDirectory{true});
       return;
     }
     const auto found = calls_.find(static_cast<CallId>(timer.token));
@@ -957,7 +960,7 @@
     Route(found->first, call);
   }
 
-  void On(const ReportHeard& heard) {
+  void On(const LoadReportReceived& heard) {
     Exchange* e = Find(heard.exchange);
     if (e == nullptr) return;
     if (heard.outcome == Outcome::kConnectFailed) return Suspect(*e);
--- a/src/core/circuits.cpp
+++ b/src/core/circuits.cpp
@@ -19,7 +19,7 @@
 
 void CircuitGroup::MarkIdle(CircuitNumber circuit, bool idle) {
   const std::uint64_t bit = std::uint64_t{1} << (circuit % 64U);
-  const bool back = refusals_.AtTheBack(circuit);
+  const bool back = refusals_.IsDeprioritized(circuit);
   std::uint64_t& front_word = idle_[circuit / 64U];
   std::uint64_t& back_word = back_[circuit / 64U];
   front_word = idle && !back ? front_word | bit : front_word & ~bit;
@@ -62,7 +62,7 @@
   if (state != CircuitState::kIdle && state != CircuitState::kReleasing && state != CircuitState::kUnknown &&
       state != CircuitState::kSuspect)
     return false;
-  refusals_.Proven(circuit);
+  refusals_.ConfirmWorking(circuit);
   Move(circuit, CircuitState::kSeizedIn, holder);
   return true;
 }
@@ -102,14 +102,14 @@
   if (circuit < size()) refusals_.Refused(circuit, out_of_service);
 }
 
-void CircuitGroup::Proven(CircuitNumber circuit) {
-  if (circuit >= size() || !refusals_.AtTheBack(circuit)) return;
-  refusals_.Proven(circuit);
+void CircuitGroup::ConfirmWorking(CircuitNumber circuit) {
+  if (circuit >= size() || !refusals_.IsDeprioritized(circuit)) return;
+  refusals_.ConfirmWorking(circuit);
   if (State(circuit) == CircuitState::kSuspect) return Move(circuit, CircuitState::kIdle, 0);
   MarkIdle(circuit, State(circuit) == CircuitState::kIdle);
 }
 
-bool CircuitGroup::Rested(CircuitNumber circuit) {
+bool CircuitGroup::EndRest(CircuitNumber circuit) {
   if (circuit >= size() || State(circuit) != CircuitState::kSuspect) return false;
   Move(circuit, CircuitState::kIdle, 0);
   return true;
--- a/src/core/circuits.h
+++ b/src/core/circuits.h
@@ -9,7 +9,7 @@
 //   kSeizedOut   taken by a call of ours                          Release
 //   kSeizedIn    taken by the far end                             Release, once the far end let go
 //   kReleasing   given up, the far end has not confirmed          Confirm (release complete), or an audit
-//   kSuspect     idle here, but the far end refused it twice      Rested (its pause is over), SeizedByFarEnd, out of
+//   kSuspect     idle here, but the far end refused it twice      EndRest (its pause is over), SeizedByFarEnd, out of
 //   service kOutOfService  blocked, or the gateway said so                InService
 #ifndef CROFTRUN_CORE_CIRCUITS_H_
 #define CROFTRUN_CORE_CIRCUITS_H_
@@ -20,7 +20,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/refusals.h"
+#include "core/refusal_history.h"
 
 namespace croftrun::core {
 
@@ -59,13 +59,13 @@
   bool BringIntoService(CircuitNumber circuit);
 
   // The far end refused our seizure of this circuit; its state changes when it is next confirmed idle. Whenever it has
-  // become kSuspect, the owner of the group calls Rested after Pause.
+  // become kSuspect, the owner of the group calls EndRest after RestTime.
   void Refused(CircuitNumber circuit, bool out_of_service = false);
-  TimeUs Pause(CircuitNumber circuit) const { return refusals_.Pause(circuit); }
+  TimeUs RestTime(CircuitNumber circuit) const { return refusals_.RestTime(circuit); }
   // The far end took part in the use of this circuit: whatever was remembered against it is over.
-  void Proven(CircuitNumber circuit);
+  void ConfirmWorking(CircuitNumber circuit);
   // A suspected circuit's pause is over: idle, at the back. False if it is not suspected (any more).
-  bool Rested(CircuitNumber circuit);
+  bool EndRest(CircuitNumber circuit);
   unsigned RefusalsInARow(CircuitNumber circuit) const { return refusals_.InARow(circuit); }
 
  private:
@@ -84,7 +84,7 @@
 
   std::vector<Circuit> circuits_;
   std::vector<std::uint64_t> idle_, back_;  // idle and first to be taken; idle and at the back of the choice
-  RefusalMemory refusals_;
+  RefusalHistory refusals_;
   std::size_t counts_[kCircuitStates] = {};
   bool from_low_;
 };
--- a/src/core/disk.h
+++ b/src/core/disk.h
@@ -27,7 +27,7 @@
  public:
   virtual ~Disk() = default;
   // With those above it; fine if it is there.
-  virtual std::error_code MakeFolder(const std::string& folder) = 0;
+  virtual std::error_code CreateFolder(const std::string& folder) = 0;
   // Names of the files in it, in no order.
   virtual std::error_code List(const std::string& folder, std::vector<std::string>* names) = 0;
   // The whole file; an error if it is longer than `most`.
--- a/src/core/print.cpp
+++ b/src/core/format.cpp
@@ -1,4 +1,4 @@
-#include "core/print.h"
+#include "core/format.h"
 
 #include <cstdarg>
 #include <cstdio>
--- a/src/core/print.h
+++ b/src/core/format.h
@@ -1,6 +1,6 @@
 // Text by a format of printf, appended to a string: for reports and pictures.
-#ifndef CROFTRUN_CORE_PRINT_H_
-#define CROFTRUN_CORE_PRINT_H_
+#ifndef CROFTRUN_CORE_FORMAT_H_
+#define CROFTRUN_CORE_FORMAT_H_
 
 #include <string>
 
@@ -11,4 +11,4 @@
 
 }  // namespace croftrun::core
 
-#endif  // CROFTRUN_CORE_PRINT_H_
+#endif  // CROFTRUN_CORE_FORMAT_H_
--- a/src/core/overload.cpp
+++ b/src/core/overload_control.cpp
@@ -1,4 +1,4 @@
-#include "core/overload.h"
+#include "core/overload_control.h"
 
 #include <algorithm>
 
--- a/src/core/overload.h
+++ b/src/core/overload_control.h
@@ -4,8 +4,8 @@
 // off within the span leaves a moment without waiting, a standing queue does not (Nichols and Jacobson, "Controlling
 // Queue Delay", 2012). What is kept back is a share of new calls only: what belongs to calls that were taken is always
 // worked on, so that each gets its answer in time. No I/O, no clock.
-#ifndef CROFTRUN_CORE_OVERLOAD_H_
-#define CROFTRUN_CORE_OVERLOAD_H_
+#ifndef CROFTRUN_CORE_OVERLOAD_CONTROL_H_
+#define CROFTRUN_CORE_OVERLOAD_CONTROL_H_
 
 #include "croftrun/call_controller.h"
 
@@ -35,4 +35,4 @@
 
 }  // namespace croftrun::core
 
-#endif  // CROFTRUN_CORE_OVERLOAD_H_
+#endif  // CROFTRUN_CORE_OVERLOAD_CONTROL_H_
--- a/src/core/refusals.h
+++ b/src/core/refusal_history.h
@@ -11,8 +11,8 @@
 //   as out of service   is suspected: not taken, looked at, and back (at the back) after a pause that doubles
 //   each time
 // A set-up that the far end worked on, or a seizure by the far end, proves the circuit and ends its record.
-#ifndef CROFTRUN_CORE_REFUSALS_H_
-#define CROFTRUN_CORE_REFUSALS_H_
+#ifndef CROFTRUN_CORE_REFUSAL_HISTORY_H_
+#define CROFTRUN_CORE_REFUSAL_HISTORY_H_
 
 #include <cstdint>
 #include <vector>
@@ -21,14 +21,14 @@
 
 namespace croftrun::core {
 
-class RefusalMemory {
+class RefusalHistory {
  public:
   // Pauses of a suspected circuit: long enough for an audit or a release complete to settle the matter, and
   // bounded so that a circuit whose far end came back unheard is tried again within seconds.
-  static constexpr TimeUs kFirstPause = 1'000'000;
-  static constexpr TimeUs kLongestPause = 16'000'000;
+  static constexpr TimeUs kInitialRest = 1'000'000;
+  static constexpr TimeUs kMaxRest = 16'000'000;
 
-  explicit RefusalMemory(std::size_t circuits) : records_(circuits) {}
+  explicit RefusalHistory(std::size_t circuits) : records_(circuits) {}
 
   // A seizure of ours on this circuit was refused. `out_of_service`: the far end said that it holds it for
   // that, so it need not say so twice.
@@ -39,15 +39,15 @@
   }
   bool Suspected(std::size_t circuit) const { return records_[circuit] >= 2; }
   // How long a suspected circuit rests before it may be taken again.
-  TimeUs Pause(std::size_t circuit) const {
-    const TimeUs pause = Suspected(circuit) ? kFirstPause << (records_[circuit] - 2U) : 0;
-    return pause < kLongestPause ? pause : kLongestPause;
+  TimeUs RestTime(std::size_t circuit) const {
+    const TimeUs pause = Suspected(circuit) ? kInitialRest << (records_[circuit] - 2U) : 0;
+    return pause < kMaxRest ? pause : kMaxRest;
   }
   // The far end took part in its use.
-  void Proven(std::size_t circuit) { records_[circuit] = 0; }
+  void ConfirmWorking(std::size_t circuit) { records_[circuit] = 0; }
   // Refusals since it was last proven, counted up to a bound.
   unsigned InARow(std::size_t circuit) const { return records_[circuit]; }
-  bool AtTheBack(std::size_t circuit) const { return records_[circuit] > 0; }
+  bool IsDeprioritized(std::size_t circuit) const { return records_[circuit] > 0; }
 
  private:
   static constexpr std::uint8_t kMostCounted = 16;
@@ -56,4 +56,4 @@
 
 }  // namespace croftrun::core
 
-#endif  // CROFTRUN_CORE_REFUSALS_H_
+#endif  // CROFTRUN_CORE_REFUSAL_HISTORY_H_
--- a/src/core/roster.cpp
+++ b/src/core/roster.cpp
@@ -4,11 +4,11 @@
 
 namespace croftrun::core {
 
-RosterView::Verdict RosterView::Apply(TimeUs now, const RosterUpdate& update, DirectoryUpdate* directory) {
+RosterView::UpdateResult RosterView::Apply(TimeUs now, const RosterUpdate& update, DirectoryUpdate* directory) {
   // Old: doubled or overtaken on the way. Applying it would bring back what is gone.
-  if (update.version <= version_) return Verdict::kOld;
-  if (update.base && *update.base != version_) return Verdict::kGap;
-  if (update.entries.size() > kMostEntries) return Verdict::kTooMany;
+  if (update.version <= version_) return UpdateResult::kStale;
+  if (update.base && *update.base != version_) return UpdateResult::kGap;
+  if (update.entries.size() > kMostEntries) return UpdateResult::kTooManyEntries;
   directory->kind = update.base ? DirectoryKind::kDelta : DirectoryKind::kFull;
   directory->version = static_cast<std::uint32_t>(update.version);
   directory->entries.clear();
@@ -38,7 +38,7 @@
                           [&](const RosterEntry& entry) { return entry.exchange == known.first; });
     });
   }
-  return Verdict::kApplied;
+  return UpdateResult::kApplied;
 }
 
 }  // namespace croftrun::core
--- a/src/core/roster.h
+++ b/src/core/roster.h
@@ -32,11 +32,11 @@
 
 class RosterView {
  public:
-  enum class Verdict { kApplied, kOld, kGap, kTooMany };
+  enum class UpdateResult { kApplied, kStale, kGap, kTooManyEntries };
   static constexpr std::size_t kMostEntries = 4096;
 
   // On kApplied, `*directory` is what the module is to be told. kGap: the full list is needed.
-  Verdict Apply(TimeUs now, const RosterUpdate& update, DirectoryUpdate* directory);
+  UpdateResult Apply(TimeUs now, const RosterUpdate& update, DirectoryUpdate* directory);
   std::uint64_t version() const { return version_; }
 
  private:
--- a/src/core/runtime.cpp
+++ b/src/core/runtime.cpp
@@ -5,7 +5,7 @@
 
 namespace croftrun::core {
 
-std::unique_ptr<Stream> Runtime::Connect(const Address& to, TimeUs, StreamSink*) {
+std::unique_ptr<Stream> Runtime::Connect(const Address& to, TimeUs, StreamHandler*) {
   throw std::system_error(std::make_error_code(std::errc::not_supported), ToString(to));
 }
 
--- a/src/core/runtime.h
+++ b/src/core/runtime.h
@@ -24,12 +24,12 @@
 };
 
 // Receives what arrives at a port. Owned by whoever opened the port, and outlives it.
-class DatagramSink {
+class DatagramHandler {
  public:
-  virtual ~DatagramSink() = default;
+  virtual ~DatagramHandler() = default;
   virtual void OnDatagram(const Address& from, std::string_view bytes) = 0;
   // Asked as a datagram is read off the socket, before it takes room or time in any queue. False: it is dropped there.
-  virtual bool Wants(const Address&, std::string_view) { return true; }
+  virtual bool ShouldReceive(const Address&, std::string_view) { return true; }
 };
 
 // A bound datagram port; closed when destroyed. Sending never blocks and never fails to the caller: what the
@@ -51,18 +51,18 @@
 
 // Receives what becomes of a stream. Owned by whoever owns the stream, and outlives it. It may destroy the stream from
 // within any of these calls; nothing is called after that.
-class StreamSink {
+class StreamHandler {
  public:
-  virtual ~StreamSink() = default;
+  virtual ~StreamHandler() = default;
   // A stream of Runtime::Connect is open. Not called for an accepted one, which is open from the start.
   virtual void OnOpen() {}
-  // Some octets, in order; at most kMostStreamRead at once, then others get their turn.
+  // Some octets, in order; at most kMaxStreamRead at once, then others get their turn.
   virtual void OnBytes(std::string_view bytes) = 0;
   // Once, and nothing after it. Not called when this side destroys the stream.
   virtual void OnEnd(StreamEnd end) = 0;
 };
 
-inline constexpr std::size_t kMostStreamRead = 16 << 10;
+inline constexpr std::size_t kMaxStreamRead = 16 << 10;
 
 // One connection; closed in order when destroyed: what was written still goes out, and what the far end sends meanwhile
 // is read and dropped for a short while, as octets left unread would make a reset of the close and take the last answer
@@ -70,14 +70,15 @@
 class Stream {
  public:
   virtual ~Stream() = default;
-  // Never blocks. What the network does not take now waits in this process: see Pending. Before OnOpen it waits too.
+  // Never blocks. What the network does not take now waits in this process: see PendingWriteOctets. Before OnOpen it
+  // waits too.
   virtual void Write(std::string_view bytes) = 0;
   // Octets that wait to be written. The owner bounds them, by destroying a stream whose far end does not read.
-  virtual std::size_t Pending() const = 0;
+  virtual std::size_t PendingWriteOctets() const = 0;
   // Octets have arrived that were not told yet: to close it now would lose them.
-  virtual bool Unread() const = 0;
+  virtual bool HasUnreadInput() const = 0;
   // The far end has closed or reset it; its OnEnd is still to come, behind whatever is unread.
-  virtual bool FarEndGone() const = 0;
+  virtual bool PeerClosed() const = 0;
   // Reading stops and goes on: what arrives meanwhile stays with the network.
   virtual void PauseReading(bool pause) = 0;
   virtual Address Remote() const = 0;
@@ -87,11 +88,11 @@
  public:
   virtual ~StreamAcceptor() = default;
   // Returns the sink of the new stream, which the acceptor owns from now on; null: it is closed at once.
-  virtual StreamSink* OnAccept(std::unique_ptr<Stream> stream) = 0;
+  virtual StreamHandler* OnAccept(std::unique_ptr<Stream> stream) = 0;
   // Asked before one that waits is accepted. False: it stays with the network, and is asked for again soon.
-  virtual bool HasRoom() { return true; }
+  virtual bool CanAccept() { return true; }
   // No descriptor was left for one that waits; it is tried again soon. A stream may be given up for it.
-  virtual void OnNoRoom() {}
+  virtual void OnDescriptorsExhausted() {}
 };
 
 // Accepts while it lives.
@@ -109,20 +110,20 @@
   virtual ~Runtime() = default;
   virtual TimeUs Now() const = 0;
   // Unix time in microseconds, for the calendar only: it may step either way at any time.
-  virtual std::int64_t WallUs() const = 0;
+  virtual std::int64_t WallClockUs() const = 0;
   // Calls `due` once, not before `delay` microseconds from now and never from within this call.
   virtual TimerId StartTimer(TimeUs delay, std::function<void()> due) = 0;
   // Harmless for a timer that is over; after it, `due` is not called.
   virtual void CancelTimer(TimerId timer) = 0;
   // Throws std::system_error where the address cannot be bound.
-  virtual std::unique_ptr<DatagramPort> OpenPort(const Address& local, DatagramSink* sink) = 0;
+  virtual std::unique_ptr<DatagramPort> OpenPort(const Address& local, DatagramHandler* sink) = 0;
   // Opens a stream to `to`; what becomes of it is told to `sink`, never from within this call. A runtime that carries
   // no streams throws std::system_error from both, as the second does where the address cannot be bound.
-  virtual std::unique_ptr<Stream> Connect(const Address& to, TimeUs within, StreamSink* sink);
+  virtual std::unique_ptr<Stream> Connect(const Address& to, TimeUs timeout, StreamHandler* sink);
   virtual std::unique_ptr<StreamListener> Listen(const Address& local, StreamAcceptor* acceptor);
   virtual std::uint64_t Random() = 0;
   // How long what is being worked on now has waited since it reached this process: the measure of own overload.
-  virtual TimeUs Backlog() const { return 0; }
+  virtual TimeUs QueueDelay() const { return 0; }
 };
 
 // A timer that its owner holds: cancelled when replaced or destroyed.
--- a/src/edge/api_front.cpp
+++ b/src/edge/api_front.cpp
@@ -10,31 +10,31 @@
 
 }  // namespace
 
-ApiFront::ApiFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core, Intake* intake,
-                   LineFront* lines)
+ApiFront::ApiFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core,
+                   AdmissionFront* admission_front, LineFront* lines)
     : settings_(settings),
       core_(core),
-      intake_(intake),
+      admission_front_(admission_front),
       lines_(lines),
       customers_(CustomerNames(settings)),
-      desk_(settings.api->desk, runtime, this),
+      session_manager_(settings.api->session_manager, runtime, this),
       tell_(runtime) {
   tell_.Start(kTell, [this] { Tell(); });
 }
 
-bool ApiFront::Classify(core::Offer* offer, const std::string& customer, bool* refused, TimeUs* pause_us) {
+bool ApiFront::Classify(core::CallRequest* offer, const std::string& customer, bool* refused, TimeUs* pause_us) {
   const auto meaning = settings_.plan.Find(offer->called);
   if (!meaning) return false;
   const auto named = std::find(customers_.begin(), customers_.end(), customer);
   offer->customer = named == customers_.end() ? -1 : static_cast<int>(named - customers_.begin());
-  const Classifier::Verdict verdict = lines_->Prepare(*meaning, offer->patience_us, 0, offer);
+  const Classifier::Verdict verdict = lines_->Prepare(*meaning, offer->caller_timeout_us, 0, offer);
   *refused = verdict.refuse;
   *pause_us = verdict.pause_us;
   return !verdict.refuse;
 }
 
-CallId ApiFront::Take(const core::Offer& offer, core::Subscriber* subscriber, std::string_view client) {
-  return intake_->Take(offer, subscriber, client);
+CallId ApiFront::Take(const core::CallRequest& offer, core::CallOwner* owner, std::string_view client) {
+  return admission_front_->Take(offer, owner, client);
 }
 
 nlohmann::json ApiFront::List(const std::string& what) {
@@ -61,11 +61,11 @@
 void ApiFront::Tell() {
   if (nlohmann::json groups = List("groups"); groups != groups_told_) {
     groups_told_ = std::move(groups);
-    desk_.TellGroups();
+    session_manager_.TellGroups();
   }
   if (nlohmann::json roster = List("roster"); roster != roster_told_) {
     roster_told_ = std::move(roster);
-    desk_.TellRoster();
+    session_manager_.TellRoster();
   }
   tell_.Start(kTell, [this] { Tell(); });
 }
--- a/src/edge/classifier.cpp
+++ b/src/edge/classifier.cpp
@@ -61,7 +61,7 @@
   return classifier;
 }
 
-void Classifier::Fill(const core::Offer& offer, const CallFacts& facts, expr::Input* input) {
+void Classifier::Fill(const core::CallRequest& offer, const CallFacts& facts, expr::Input* input) {
   const auto number = [](std::int64_t value) { return expr::Value{value, {}, true}; };
   const auto text = [](std::string_view value, std::size_t longest) {
     return expr::Value{0, value.substr(0, longest), true};
@@ -73,13 +73,13 @@
   input->push_back(text(offer.calling, kLongestCalling));
   input->push_back(number(offer.destination));
   input->push_back(number(static_cast<std::int64_t>(offer.width)));
-  input->push_back(number(static_cast<std::int64_t>(offer.patience_us)));
+  input->push_back(number(static_cast<std::int64_t>(offer.caller_timeout_us)));
   input->push_back(expr::Value{facts.line, {}, facts.line != 0});
   input->push_back(number(facts.gateway));
   input->push_back(number(std::bit_cast<std::int64_t>(facts.overload)));
 }
 
-Classifier::Verdict Classifier::Apply(core::Offer* offer, const CallFacts& facts, const expr::Moment& moment,
+Classifier::Verdict Classifier::Apply(core::CallRequest* offer, const CallFacts& facts, const expr::Moment& moment,
                                       expr::RuleState* state) const {
   // One buffer a thread: nothing is allocated for a call.
   thread_local expr::Input input;
@@ -102,7 +102,7 @@
   if (outcome.customer) offer->customer = *outcome.customer;
   if (outcome.priority) offer->priority = *outcome.priority;
   if (outcome.key) offer->key = std::max<std::uint64_t>(1, *outcome.key);
-  if (outcome.redial) offer->redialled = true;
+  if (outcome.redial) offer->is_redial = true;
   return verdict;
 }
 
--- a/src/edge/classifier.h
+++ b/src/edge/classifier.h
@@ -35,7 +35,7 @@
   static expr::Schema SchemaFor(const std::vector<std::string>& classes, const std::vector<std::string>& customers,
                                 const std::vector<Place>& places = {});
   // An input of that schema, without what the rule set adds. Texts refer to the offer.
-  static void Fill(const core::Offer& offer, const CallFacts& facts, expr::Input* input);
+  static void Fill(const core::CallRequest& offer, const CallFacts& facts, expr::Input* input);
   // Null where there was a mistake; immutable once made, so that a call is wholly under one version.
   static std::shared_ptr<const Classifier> Make(std::string_view text, const std::vector<std::string>& classes,
                                                 const std::vector<std::string>& customers,
@@ -50,7 +50,8 @@
   };
   // Changes the offer as the rules say, but for the patience, which follows the class: `outcome.budget_us` is to be
   // applied after it. Counts the call in `state`.
-  Verdict Apply(core::Offer* offer, const CallFacts& facts, const expr::Moment& moment, expr::RuleState* state) const;
+  Verdict Apply(core::CallRequest* offer, const CallFacts& facts, const expr::Moment& moment,
+                expr::RuleState* state) const;
   const expr::RuleSet& rules() const { return rules_; }
 
  private:
--- a/src/edge/edge_node.cpp
+++ b/src/edge/edge_node.cpp
@@ -18,15 +18,15 @@
 
 }  // namespace
 
-EdgeNode::EdgeNode(const EdgeSettings& settings, core::Runtime* runtime, core::LogSink* log)
+EdgeNode::EdgeNode(const EdgeSettings& settings, core::Runtime* runtime, core::Logger* log)
     : settings_(settings),
       runtime_(runtime),
       log_(log),
       transactions_(runtime, settings.listen, settings.transactions,
                     [this](auto command, const auto& from, const auto& message) { OnCommand(command, from, message); }),
       core_(CoreSettingsOf(settings, runtime), runtime, log),
-      intake_(settings.door, settings.core.answer_margin_us, runtime, &core_),
-      lines_(settings, runtime, &core_, &intake_, &transactions_, log),
+      admission_front_(settings.admission, settings.core.answer_margin_us, runtime, &core_),
+      lines_(settings, runtime, &core_, &admission_front_, &transactions_, log),
       trunks_(settings, runtime, &core_, &transactions_),
       stopping_(runtime),
       strangers_(runtime) {
@@ -34,9 +34,9 @@
                               [this](const mgcp::Message& message) { return InUse(message); });
   TellOfStrangers();
   core_.SetTrunks(&trunks_);
-  core_.SetTerminator(&lines_);
+  core_.SetLineDriver(&lines_);
   if (settings_.roster) roster_ = std::make_unique<RosterClient>(*settings_.roster, runtime, &core_, log);
-  if (settings_.api) api_ = std::make_unique<ApiFront>(settings_, runtime, &core_, &intake_, &lines_);
+  if (settings_.api) api_ = std::make_unique<ApiFront>(settings_, runtime, &core_, &admission_front_, &lines_);
   lines_.Start();
   trunks_.Start();
   log_->Write(core::LogLevel::kInfo, "started", 0, "exchange " + std::to_string(core_.own_number()));
@@ -84,14 +84,14 @@
 }
 
 void EdgeNode::Stop(std::function<void()> done) {
-  core_.StopTaking();
-  intake_.StopTaking();
+  core_.StopAcceptingCalls();
+  admission_front_.StopTaking();
   log_->Write(core::LogLevel::kInfo, "stopping", 0, std::to_string(core_.open_calls()) + " calls up");
   WaitForCalls(runtime_->Now() + settings_.shutdown_limit_us, std::move(done));
 }
 
 void EdgeNode::WaitForCalls(TimeUs until, std::function<void()> done) {
-  if (core_.open_calls() > 0 && runtime_->Now() >= until) core_.EndAll(core::ReleaseCause::kTemporaryFailure);
+  if (core_.open_calls() > 0 && runtime_->Now() >= until) core_.EndAllCalls(core::ReleaseCause::kTemporaryFailure);
   if (core_.open_calls() == 0) return done();
   stopping_.Start(kStopPoll, [this, until, done = std::move(done)] { WaitForCalls(until, done); });
 }
@@ -167,13 +167,13 @@
                               {"rung", l.rung},
                               {"ignored_events", l.ignored_events},
                               {"restarts", l.restarts}}}};
-  if (const door::Door* door = intake_.door()) {
-    const door::Door::Counters& d = door->counters();
-    metrics["door"] = {{"waiting", door->waiting()},
-                       {"under_way", door->under_way()},
-                       {"limit", door->limit()},
-                       {"table_bytes", door->table_bytes()},
-                       {"knocks", d.knocks},
+  if (const admission::AdmissionController* admission = admission_front_.admission()) {
+    const admission::AdmissionController::Counters& d = admission->counters();
+    metrics["door"] = {{"waiting", admission->waiting()},
+                       {"under_way", admission->under_way()},
+                       {"limit", admission->limit()},
+                       {"table_bytes", admission->table_bytes()},
+                       {"knocks", d.requests},
                        {"admitted", d.admitted},
                        {"waited", d.waited},
                        {"refused", d.refused},
@@ -201,9 +201,9 @@
           {"counted", counter.counted}, {"displaced", counter.displaced}, {"bytes", counter.bytes}};
   }
   if (api_) {
-    const ws::Desk::Counters& a = api_->desk().counters();
-    metrics["api"] = {{"connections_open", api_->desk().connections()},
-                      {"sessions_open", api_->desk().sessions()},
+    const ws::SessionManager::Counters& a = api_->session_manager().counters();
+    metrics["api"] = {{"connections_open", api_->session_manager().connections()},
+                      {"sessions_open", api_->session_manager().sessions()},
                       {"connections", a.connections},
                       {"hellos", a.hellos},
                       {"denied", a.denied},
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -21,20 +21,22 @@
  public:
   // Binds its ports (throws std::system_error) and starts: circuits are audited, lines armed, the roster asked for.
   // `settings`, `runtime` and `log` outlive it.
-  EdgeNode(const EdgeSettings& settings, core::Runtime* runtime, core::LogSink* log);
+  EdgeNode(const EdgeSettings& settings, core::Runtime* runtime, core::Logger* log);
 
   // Takes no more calls; `done` comes when none is left, or when the limit has passed and what was left was ended.
   void Stop(std::function<void()> done);
   // New rules, whole, from the next call on.
   void SetClassifier(std::shared_ptr<const Classifier> classifier) { lines_.SetClassifier(std::move(classifier)); }
-  void SetCustomers(const std::vector<door::CustomerSettings>& customers) { intake_.SetCustomers(customers); }
+  void SetCustomers(const std::vector<admission::CustomerSettings>& customers) {
+    admission_front_.SetCustomers(customers);
+  }
   std::uint32_t rules_version() const { return lines_.rules_version(); }
   // Every counter, by part.
   nlohmann::json Metrics() const;
 
   core::CallCore& core() { return core_; }
   // Null where the settings have no api.
-  ws::Desk* desk() { return api_ ? &api_->desk() : nullptr; }
+  ws::SessionManager* session_manager() { return api_ ? &api_->session_manager() : nullptr; }
   const mgcp::Transactions& transactions() const { return transactions_; }
   const TrunkGateway& trunks() const { return trunks_; }
   const RosterClient* roster() const { return roster_.get(); }
@@ -49,10 +51,10 @@
 
   const EdgeSettings& settings_;
   core::Runtime* runtime_;
-  core::LogSink* log_;
+  core::Logger* log_;
   mgcp::Transactions transactions_;
   core::CallCore core_;
-  Intake intake_;
+  AdmissionFront admission_front_;
   LineFront lines_;
   TrunkGateway trunks_;
   std::unique_ptr<RosterClient> roster_;
--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -16,8 +16,9 @@
 
 const std::map<std::string, ReportField>& ReportFields() {
   static const std::map<std::string, ReportField> kFields = {
-      {"busy", ReportField::kBusy},      {"pending", ReportField::kPending}, {"cpu_share", ReportField::kCpuShare},
-      {"wait_ms", ReportField::kWaitMs}, {"allowed", ReportField::kAllowed}, {"cut_by", ReportField::kCutBy}};
+      {"busy", ReportField::kBusyWorkers},    {"pending", ReportField::kPendingSetUps},
+      {"cpu_share", ReportField::kCpuShare},  {"wait_ms", ReportField::kWaitMs},
+      {"allowed", ReportField::kAllowedRate}, {"cut_by", ReportField::kLoadReduction}};
   return kFields;
 }
 
@@ -36,7 +37,7 @@
     ReadRules(file, &s);
     ReadFlow(file, &s);
     ReadNetwork(file.at("network"), &s.core.module);
-    ReadDoor(file, &s);
+    ReadAdmission(file, &s);
     if (file.contains("api")) ReadApi(file.at("api"), &s);
     if (file.contains("transactions")) ReadTransactions(file.at("transactions"), &s.transactions);
     if (file.contains("log")) {
@@ -60,7 +61,7 @@
     Value(file.at("exchange"), "zone", &s->core.module.own_zone);
     const json& agent = file.at("agent");
     Address(agent, "/agent", "listen", &s->listen);
-    Value(agent, "most_calls", &s->core.most_calls);
+    Value(agent, "most_calls", &s->core.max_calls);
     Time(agent, "answer_margin_ms", &s->core.answer_margin_us);
     Time(agent, "shutdown_limit_ms", &s->shutdown_limit_us);
     Time(agent, "audit_ms", &s->audit_us);
@@ -95,17 +96,17 @@
       c.name = entry.at("name").get<std::string>();
       if (!classes_.emplace(c.name, static_cast<int>(index)).second)
         Mistake(path + "/name", "class \"" + c.name + "\" is there already");
-      Time(entry, "aim_ms", &c.aim_us);
+      Time(entry, "aim_ms", &c.target_delay_us);
       Time(entry, "give_up_ms", &c.deadline_us);
       Value(entry, "worth", &c.worth);
       Value(entry, "late_worth", &c.late_worth);
       Value(entry, "width", &c.width);
       Time(entry, "holding_ms", &c.holding_us);
       const std::string repeat = entry.value("repeat", "idempotent");
-      c.repeat = repeat == "deduplicated"   ? Repeat::kDeduplicated
-                 : repeat == "at-most-once" ? Repeat::kAtMostOnce
-                                            : Repeat::kIdempotent;
-      if (c.aim_us > c.deadline_us) Mistake(path + "/aim_ms", "expected at most give_up_ms, found more");
+      c.retry_semantics = repeat == "deduplicated"   ? RetrySemantics::kDeduplicated
+                          : repeat == "at-most-once" ? RetrySemantics::kAtMostOnce
+                                                     : RetrySemantics::kIdempotent;
+      if (c.target_delay_us > c.deadline_us) Mistake(path + "/aim_ms", "expected at most give_up_ms, found more");
       s->class_names.push_back(c.name);
       s->core.module.classes.push_back(c);
       ++index;
@@ -200,53 +201,53 @@
     Value(a, "most_connections", &api.most_connections);
     Value(a, "accepts_per_s", &api.accepts_per_s);
     Time(a, "idle_ms", &api.idle_us);
-    Value(a, "most_sessions", &api.desk.most_sessions);
-    Value(a, "most_queued", &api.desk.most_queued);
-    Time(a, "resume_ms", &api.desk.resume_us);
-    Time(a, "hello_ms", &api.desk.hello_us);
-    Value(a, "calls", &api.desk.session.most_calls);
-    Value(a, "commands_per_s", &api.desk.session.commands.per_s);
-    Value(a, "burst", &api.desk.session.commands.burst);
+    Value(a, "most_sessions", &api.session_manager.most_sessions);
+    Value(a, "most_queued", &api.session_manager.most_queued);
+    Time(a, "resume_ms", &api.session_manager.resume_us);
+    Time(a, "hello_ms", &api.session_manager.hello_us);
+    Value(a, "calls", &api.session_manager.session.most_calls);
+    Value(a, "commands_per_s", &api.session_manager.session.commands.per_s);
+    Value(a, "burst", &api.session_manager.session.commands.burst);
     if (!api.token_keys_file.empty()) {
       std::vector<config::Mistake> mistakes;
-      api.desk.token_keys = ReadTokenKeys(api.token_keys_file, &mistakes);
+      api.session_manager.token_keys = ReadTokenKeys(api.token_keys_file, &mistakes);
       for (const config::Mistake& mistake : mistakes)
         Mistake("/api/token_keys_file", mistake.path + ": " + mistake.text);
     }
     s->api = std::move(api);
   }
 
-  void ReadDoor(const json& file, EdgeSettings* s) {
+  void ReadAdmission(const json& file, EdgeSettings* s) {
     if (!file.contains("door")) return;
     const json& d = file.at("door");
-    door::DoorSettings door;
-    Value(d, "most_waiting", &door.most_waiting);
-    Value(d, "clients", &door.clients.most);
-    Value(d, "promises", &door.promises.most);
-    Value(d, "first_limit", &door.limiter.first);
-    Value(d, "least_limit", &door.limiter.least);
-    Value(d, "most_limit", &door.limiter.most);
-    Value(d, "calls_per_s", &door.all.per_s);
-    Value(d, "burst", &door.all.burst);
-    Value(d, "client_calls_per_s", &door.clients.limit.per_s);
-    Value(d, "client_burst", &door.clients.limit.burst);
-    Time(d, "prove_ms", &door.clients.prove_us);
-    Time(d, "least_pause_ms", &door.least_pause_us);
-    if (door.limiter.least > door.limiter.most)
+    admission::AdmissionSettings admission;
+    Value(d, "most_waiting", &admission.most_waiting);
+    Value(d, "clients", &admission.clients.most);
+    Value(d, "promises", &admission.reservations.most);
+    Value(d, "first_limit", &admission.limiter.first);
+    Value(d, "least_limit", &admission.limiter.least);
+    Value(d, "most_limit", &admission.limiter.most);
+    Value(d, "calls_per_s", &admission.all.per_s);
+    Value(d, "burst", &admission.all.burst);
+    Value(d, "client_calls_per_s", &admission.clients.limit.per_s);
+    Value(d, "client_burst", &admission.clients.limit.burst);
+    Time(d, "prove_ms", &admission.clients.verify_us);
+    Time(d, "least_pause_ms", &admission.least_pause_us);
+    if (admission.limiter.least > admission.limiter.most)
       Mistake("/door/least_limit", "expected no more than most_limit, found more");
     // A pause is stated as the site allows, or not at all.
     const Settings& m = s->core.module;
-    door.longest_pause_us = m.honours_pause ? m.longest_pause_us : 0;
+    admission.longest_pause_us = m.honours_retry_after ? m.max_retry_after_us : 0;
     if (file.contains("customers")) {
       for (const json& entry : file.at("customers")) {
-        door::CustomerSettings customer;
+        admission::CustomerSettings customer;
         Value(entry, "weight", &customer.weight);
         Value(entry, "door_calls_per_s", &customer.limit.per_s);
         Value(entry, "door_burst", &customer.limit.burst);
-        door.customers.push_back(customer);
+        admission.customers.push_back(customer);
       }
     }
-    s->door = std::move(door);
+    s->admission = std::move(admission);
   }
 
   void ReadTls(const json& entry, const std::string& path, const std::string& transport, flow::TlsFiles* tls) {
@@ -286,7 +287,7 @@
     const auto exchange = static_cast<std::uint32_t>(s->core.module.own_number);
     Value(f, "ring", &flow.ring);
     flow.recorder.exchange = flow.exporter.exchange = exchange;
-    flow.recorder.most_open = s->core.most_calls;
+    flow.recorder.most_open = s->core.max_calls;
     Time(f, "interval_ms", &flow.recorder.interval_us);
     Time(f, "group_interval_ms", &flow.exporter.group_us);
     Time(f, "counts_interval_ms", &flow.exporter.counts_us);
@@ -337,22 +338,22 @@
   }
 
   static void ReadNetwork(const json& network, Settings* m) {
-    Value(network, "senders", &m->senders);
-    Time(network, "release_ms", &m->release_us);
-    Time(network, "repeat_ms", &m->repeat_us);
+    Value(network, "senders", &m->softswitch_count);
+    Time(network, "release_ms", &m->resend_guard_us);
+    Time(network, "repeat_ms", &m->retransmit_interval_us);
     Time(network, "drain_grace_ms", &m->drain_grace_us);
-    Value(network, "cold_from", &m->cold_from);
+    Value(network, "cold_from", &m->warm_up_start_share);
     Time(network, "warm_up_ms", &m->warm_up_us);
-    Value(network, "fall_multiple", &m->fall_multiple);
-    Time(network, "fall_ms", &m->fall_us);
-    Value(network, "most_attempts", &m->most_attempts);
+    Value(network, "fall_multiple", &m->collapse_multiple);
+    Time(network, "fall_ms", &m->collapse_time_us);
+    Value(network, "most_attempts", &m->max_attempts);
     Value(network, "may_cancel", &m->may_cancel);
     Value(network, "may_probe", &m->may_probe);
-    Value(network, "honours_pause", &m->honours_pause);
-    Time(network, "longest_pause_ms", &m->longest_pause_us);
+    Value(network, "honours_pause", &m->honours_retry_after);
+    Time(network, "longest_pause_ms", &m->max_retry_after_us);
     Value(network, "marks_redials", &m->marks_redials);
-    Value(network, "tells_wait", &m->tells_wait);
-    m->report_fields = {ReportField::kSpare, ReportField::kTotal};
+    Value(network, "tells_wait", &m->reports_wait_time);
+    m->report_fields = {ReportField::kFreeCircuits, ReportField::kTotalCircuits};
     if (network.contains("reports")) {
       for (const json& name : network.at("reports"))
         m->report_fields.push_back(ReportFields().at(name.get<std::string>()));
@@ -412,7 +413,7 @@
   json shown;
   shown["exchange"] = {{"number", m.own_number}, {"zone", m.own_zone}};
   shown["agent"] = {{"listen", core::ToString(s.listen)},
-                    {"most_calls", s.core.most_calls},
+                    {"most_calls", s.core.max_calls},
                     {"answer_margin_ms", s.core.answer_margin_us / kMs},
                     {"shutdown_limit_ms", s.shutdown_limit_us / kMs},
                     {"audit_ms", s.audit_us / kMs}};
@@ -426,7 +427,7 @@
     shown["groups"].push_back({{"exchange", group.number}, {"circuits", group.circuits}});
   for (const CallClass& c : m.classes) {
     shown["classes"].push_back({{"name", c.name},
-                                {"aim_ms", c.aim_us / kMs},
+                                {"aim_ms", c.target_delay_us / kMs},
                                 {"give_up_ms", c.deadline_us / kMs},
                                 {"worth", c.worth},
                                 {"late_worth", c.late_worth},
@@ -438,21 +439,21 @@
     shown["customers"].push_back({{"name", c.name}, {"quota_per_s", c.quota_per_s}});
   shown["over_quota_worth"] = m.over_quota_worth;
   shown["plan_prefixes"] = s.plan.size();
-  shown["network"] = {{"senders", m.senders},
-                      {"release_ms", m.release_us / kMs},
-                      {"repeat_ms", m.repeat_us / kMs},
+  shown["network"] = {{"senders", m.softswitch_count},
+                      {"release_ms", m.resend_guard_us / kMs},
+                      {"repeat_ms", m.retransmit_interval_us / kMs},
                       {"drain_grace_ms", m.drain_grace_us / kMs},
-                      {"cold_from", m.cold_from},
+                      {"cold_from", m.warm_up_start_share},
                       {"warm_up_ms", m.warm_up_us / kMs},
-                      {"fall_multiple", m.fall_multiple},
-                      {"fall_ms", m.fall_us / kMs},
-                      {"most_attempts", m.most_attempts},
+                      {"fall_multiple", m.collapse_multiple},
+                      {"fall_ms", m.collapse_time_us / kMs},
+                      {"most_attempts", m.max_attempts},
                       {"may_cancel", m.may_cancel},
                       {"may_probe", m.may_probe},
-                      {"honours_pause", m.honours_pause},
-                      {"longest_pause_ms", m.longest_pause_us / kMs},
+                      {"honours_pause", m.honours_retry_after},
+                      {"longest_pause_ms", m.max_retry_after_us / kMs},
                       {"marks_redials", m.marks_redials},
-                      {"tells_wait", m.tells_wait}};
+                      {"tells_wait", m.reports_wait_time}};
   shown["transactions"] = {{"first_timeout_ms", s.transactions.first_timeout_us / kMs},
                            {"longest_timeout_ms", s.transactions.longest_timeout_us / kMs},
                            {"give_up_ms", s.transactions.give_up_us / kMs},
--- a/src/edge/edge_settings.h
+++ b/src/edge/edge_settings.h
@@ -9,15 +9,15 @@
 #include <string_view>
 #include <vector>
 
+#include "admission/admission_controller.h"
 #include "config/json_settings.h"
 #include "core/call_core.h"
 #include "core/number_plan.h"
-#include "door/door.h"
 #include "edge/classifier.h"
 #include "flow/exporter.h"
 #include "flow/recorder.h"
 #include "mgcp/transactions.h"
-#include "ws/desk.h"
+#include "ws/session_manager.h"
 
 namespace croftrun::edge {
 
@@ -46,7 +46,7 @@
   std::size_t most_connections = 1'024;
   TimeUs idle_us = 30'000'000;
   std::size_t accepts_per_s = 200;
-  ws::DeskSettings desk;  // with the keys, as read
+  ws::SessionManagerSettings session_manager;  // with the keys, as read
 };
 // One key a line, of 16 octets at least; mistakes with their line.
 std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::Mistake>* mistakes);
@@ -63,7 +63,7 @@
   std::shared_ptr<const Classifier> classifier;  // null: no rules
   std::optional<RosterSettings> roster;
   std::optional<FlowSettings> flow;
-  std::optional<door::DoorSettings> door;
+  std::optional<admission::AdmissionSettings> admission;
   std::optional<ApiSettings> api;
   mgcp::TransactionSettings transactions;
   TimeUs shutdown_limit_us = 30'000'000;
--- a/src/edge/json_log.cpp
+++ b/src/edge/json_log.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-bool JsonLog::Wants(core::LogLevel level) const { return logger_->should_log(LevelOf(level)); }
+bool JsonLog::IsEnabled(core::LogLevel level) const { return logger_->should_log(LevelOf(level)); }
 
 void JsonLog::Write(core::LogLevel level, std::string_view event, CallId call, std::string_view detail) {
   const auto at = LevelOf(level);
--- a/src/edge/json_log.h
+++ b/src/edge/json_log.h
@@ -13,12 +13,12 @@
 
 namespace croftrun::edge {
 
-class JsonLog final : public core::LogSink {
+class JsonLog final : public core::Logger {
  public:
   // `file` empty: standard error. Throws std::runtime_error where the file cannot be opened.
   JsonLog(const std::string& level, const std::string& file, int exchange);
   ~JsonLog() override;
-  bool Wants(core::LogLevel level) const override;
+  bool IsEnabled(core::LogLevel level) const override;
   // From now on; `level` as at the start: debug, info, warning, error.
   void SetLevel(const std::string& level);
   void Write(core::LogLevel level, std::string_view event, CallId call, std::string_view detail) override;
--- a/src/edge/line_front.cpp
+++ b/src/edge/line_front.cpp
@@ -28,12 +28,12 @@
   return Hex(static_cast<std::uint64_t>(own_number)) + "F" + Hex(call);
 }
 
-LineFront::LineFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core, Intake* intake,
-                     mgcp::Transactions* transactions, core::LogSink* log)
+LineFront::LineFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core,
+                     AdmissionFront* admission_front, mgcp::Transactions* transactions, core::Logger* log)
     : settings_(settings),
       runtime_(runtime),
       core_(core),
-      intake_(intake),
+      admission_front_(admission_front),
       transactions_(transactions),
       log_(log),
       lines_(static_cast<std::size_t>(settings.lines.count) + 1),
@@ -51,17 +51,17 @@
 }
 
 Classifier::Verdict LineFront::Prepare(const core::NumberMeaning& meaning, TimeUs patience_us, int line,
-                                       core::Offer* offer) {
+                                       core::CallRequest* offer) {
   offer->call_class = meaning.call_class;
   if (offer->customer < 0 || line > 0) offer->customer = meaning.customer;
   offer->destination = meaning.destination;
-  const TimeUs waited = runtime_->Backlog();
+  const TimeUs waited = runtime_->QueueDelay();
   const auto take_class = [&] {
     const CallClass& call_class = settings_.core.module.classes[static_cast<std::size_t>(offer->call_class)];
     offer->width = static_cast<std::size_t>(call_class.width);
-    offer->patience_us = patience_us > 0 ? patience_us : call_class.deadline_us;
+    offer->caller_timeout_us = patience_us > 0 ? patience_us : call_class.deadline_us;
     // It runs from the digits' arrival, not from when they are looked at.
-    offer->patience_us -= std::min(offer->patience_us, waited);
+    offer->caller_timeout_us -= std::min(offer->caller_timeout_us, waited);
   };
   take_class();
   if (classifier_ == nullptr) return {};
@@ -72,17 +72,17 @@
   }
   if (verdict.rule != nullptr) take_class();  // width and patience follow the class
   if (verdict.outcome.budget_us)
-    offer->patience_us =
-        std::min(offer->patience_us, static_cast<TimeUs>(std::max<std::int64_t>(1, *verdict.outcome.budget_us)));
+    offer->caller_timeout_us =
+        std::min(offer->caller_timeout_us, static_cast<TimeUs>(std::max<std::int64_t>(1, *verdict.outcome.budget_us)));
   return verdict;
 }
 
-Classifier::Verdict LineFront::Classify(core::Offer* offer, int line) {
+Classifier::Verdict LineFront::Classify(core::CallRequest* offer, int line) {
   offer->rules = rules_version_;
   const CallFacts facts{line, settings_.gateway.host, core_->ShareRefused()};
-  const expr::Moment moment{runtime_->Now(), classifier_->rules().calendar.empty() ? 0 : runtime_->WallUs()};
+  const expr::Moment moment{runtime_->Now(), classifier_->rules().calendar.empty() ? 0 : runtime_->WallClockUs()};
   const Classifier::Verdict verdict = classifier_->Apply(offer, facts, moment, &*rule_state_);
-  if (verdict.rule != nullptr && log_->Wants(core::LogLevel::kDebug)) {
+  if (verdict.rule != nullptr && log_->IsEnabled(core::LogLevel::kDebug)) {
     std::string detail = offer->calling + ": rule " +
                          (verdict.rule->name.empty() ? std::to_string(verdict.rule->line) : verdict.rule->name);
     for (std::size_t i = 0; i < verdict.outcome.tag_count; ++i)
@@ -241,7 +241,7 @@
     Acknowledge();
     return Tone(number, line, "L/ro", "failed", 0);
   }
-  core::Offer offer;
+  core::CallRequest offer;
   offer.called = digits;
   offer.calling = std::string(wire_names::kLines) + std::to_string(number);
   const auto patience = wire_names::Number<std::uint32_t>(message.Get(wire_names::kPatience));
@@ -250,11 +250,11 @@
     Acknowledge();
     return Tone(number, line, "G/cg", "refused", verdict.pause_us);
   }
-  if (offer.patience_us == 0) return RefuseInAnswer(line, 0);  // whoever dialled has given up
+  if (offer.caller_timeout_us == 0) return RefuseInAnswer(line, 0);  // whoever dialled has given up
   line.state = State::kCalling;
   line.called = false;
   dialling_ = number;
-  const CallId call = intake_->Take(offer, this, offer.calling);
+  const CallId call = admission_front_->Take(offer, this, offer.calling);
   dialling_ = 0;
   // Answered from within, the line has moved on already.
   if (line.state == State::kCalling || line.state == State::kTalking) {
@@ -263,20 +263,20 @@
   }
 }
 
-void LineFront::OnTaken(CallId) { Acknowledge(); }
+void LineFront::OnAccepted(CallId) { Acknowledge(); }
 
-void LineFront::OnFinal(CallId call, const core::FinalAnswer& answer) {
+void LineFront::OnFinalAnswer(CallId call, const core::FinalAnswer& answer) {
   const int number = CallingLine(call);
   if (number == 0) return;
   Line& line = lines_[static_cast<std::size_t>(number)];
-  if (answer.kind != core::FinalKind::kStands) {
+  if (answer.kind != core::FinalKind::kEstablished) {
     Unbind(line);
     line.state = State::kTone;
     const bool refused = answer.kind == core::FinalKind::kRefused;
     // Refused before it was taken. Of the call being dialled only: others may be answered while it is looked at.
     if (number == dialling_) {
-      const bool cheaply = core_->Overloaded() || intake_->door() != nullptr;
-      if (refused && unanswered_ && cheaply) return RefuseInAnswer(line, answer.pause_us);
+      const bool cheaply = core_->Overloaded() || admission_front_->admission() != nullptr;
+      if (refused && unanswered_ && cheaply) return RefuseInAnswer(line, answer.retry_after_us);
       Acknowledge();  // a tone goes to a call that was taken
     }
     const bool busy = answer.cause == core::ReleaseCause::kUserBusy;
@@ -284,7 +284,7 @@
                 refused ? "G/cg"
                 : busy  ? "L/bz"
                         : "L/ro",
-                refused ? "refused" : "failed", answer.pause_us);
+                refused ? "refused" : "failed", answer.retry_after_us);
   }
   line.state = State::kTalking;
   line.connected = true;
@@ -301,7 +301,7 @@
   });
 }
 
-void LineFront::OnEnded(CallId call, core::ReleaseCause cause) {
+void LineFront::OnCallEnded(CallId call, core::ReleaseCause cause) {
   const int number = CallingLine(call);
   if (number == 0) return;
   Line& line = lines_[static_cast<std::size_t>(number)];
@@ -349,13 +349,13 @@
       core_->OnRingReleased(
           call, state == State::kRinging ? core::ReleaseCause::kTemporaryFailure : core::ReleaseCause::kNormal);
     } else {
-      intake_->HangUp(call);
+      admission_front_->HangUp(call);
     }
   }
   Disconnect(number, line, true, "");
 }
 
-core::ReleaseCause LineFront::Ring(CallId call, const core::Offer& offer) {
+core::ReleaseCause LineFront::Ring(CallId call, const core::CallRequest& offer) {
   const LineSettings& lines = settings_.lines;
   const std::string_view called = offer.called;
   const auto digits = static_cast<std::size_t>(lines.number_digits);
--- a/src/edge/line_front.h
+++ b/src/edge/line_front.h
@@ -16,21 +16,21 @@
 #include <vector>
 
 #include "core/call_core.h"
+#include "edge/admission_front.h"
 #include "edge/edge_settings.h"
-#include "edge/intake.h"
 #include "mgcp/transactions.h"
 
 namespace croftrun::edge {
 
-class LineFront final : public core::Subscriber, public core::Terminator {
+class LineFront final : public core::CallOwner, public core::LineDriver {
  public:
   struct Counters {
     std::uint64_t dialled = 0, unallocated = 0, stale_digits = 0, refused_by_rule = 0, refused_in_answer = 0;
     std::uint64_t rung = 0, ignored_events = 0, restarts = 0;
   };
 
-  LineFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core, Intake* intake,
-            mgcp::Transactions* transactions, core::LogSink* log);
+  LineFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core, AdmissionFront* admission_front,
+            mgcp::Transactions* transactions, core::Logger* log);
 
   // Clears what a former life left and arms all lines; repeated until the gateway answers.
   void Start();
@@ -43,16 +43,17 @@
   // Null: no rules.
   const expr::RuleState* rule_state() const { return rule_state_ ? &*rule_state_ : nullptr; }
 
-  void OnTaken(CallId call) override;
-  void OnFinal(CallId call, const core::FinalAnswer& answer) override;
-  void OnEnded(CallId call, core::ReleaseCause cause) override;
-  core::ReleaseCause Ring(CallId call, const core::Offer& offer) override;
+  void OnAccepted(CallId call) override;
+  void OnFinalAnswer(CallId call, const core::FinalAnswer& answer) override;
+  void OnCallEnded(CallId call, core::ReleaseCause cause) override;
+  core::ReleaseCause Ring(CallId call, const core::CallRequest& offer) override;
   void StopRinging(CallId call, core::ReleaseCause cause) override;
 
   // What every front does to a call before it is offered: class, destination, width, time and rules. `patience_us` 0:
   // the class's. `line` 0: it comes from none, and keeps the customer it has unless that is -1. Refused by a rule: only
   // that counts.
-  Classifier::Verdict Prepare(const core::NumberMeaning& meaning, TimeUs patience_us, int line, core::Offer* offer);
+  Classifier::Verdict Prepare(const core::NumberMeaning& meaning, TimeUs patience_us, int line,
+                              core::CallRequest* offer);
   // From off hook to on hook.
   bool InUse(int line) const {
     return line > 0 && static_cast<std::size_t>(line) < lines_.size() &&
@@ -82,7 +83,7 @@
   // costs least when there are most of them.
   void RefuseInAnswer(Line& line, TimeUs pause_us);
   void Dial(int number, Line& line, const std::string& digits, const mgcp::Message& message);
-  Classifier::Verdict Classify(core::Offer* offer, int line);
+  Classifier::Verdict Classify(core::CallRequest* offer, int line);
   void Tone(int number, Line& line, std::string_view signal, std::string_view answer, TimeUs pause_us);
   void Disconnect(int number, Line& line, bool rearm, std::string_view signal);
   void Unbind(Line& line);
@@ -100,9 +101,9 @@
   const EdgeSettings& settings_;
   core::Runtime* runtime_;
   core::CallCore* core_;
-  Intake* intake_;
+  AdmissionFront* admission_front_;
   mgcp::Transactions* transactions_;
-  core::LogSink* log_;
+  core::Logger* log_;
   std::vector<Line> lines_;  // by endpoint number, from 1; [0] unused
   std::unordered_map<CallId, int> calling_, rung_;
   // Set while a line's call is being taken: its final answer can come before its id is known.
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -34,8 +34,8 @@
 struct Reread {
   std::shared_ptr<const croftrun::edge::Classifier> classifier;
   std::vector<croftrun::config::Mistake> faults;
-  std::vector<croftrun::door::CustomerSettings> customers;  // their weights and limits at the door; none: no door
-  std::vector<std::string> token_keys;                      // of the API; none: it has none
+  std::vector<croftrun::admission::CustomerSettings> customers;  // their weights and limits at the door; none: no door
+  std::vector<std::string> token_keys;                           // of the API; none: it has none
 };
 
 // The words that rules may use are those in force: the classes and customers of a running edge do not change.
@@ -52,8 +52,8 @@
     result.faults.push_back(
         {"/customers", "expected the customers in force, found others; restart the edge to change them"});
   result.classifier = std::move(fresh.classifier);
-  if (fresh.door) result.customers = fresh.door->customers;
-  if (fresh.api) result.token_keys = fresh.api->desk.token_keys;
+  if (fresh.admission) result.customers = fresh.admission->customers;
+  if (fresh.api) result.token_keys = fresh.api->session_manager.token_keys;
   return result;
 }
 
@@ -91,7 +91,7 @@
   return json;
 }
 
-void TellNotes(const croftrun::expr::RuleSet& rules, croftrun::core::LogSink* log) {
+void TellNotes(const croftrun::expr::RuleSet& rules, croftrun::core::Logger* log) {
   std::size_t told = 0;
   for (const auto& note : rules.Report(false, kMostPairs)) {
     if (++told > kMostNotes) break;
@@ -136,8 +136,8 @@
     server.most_connections = settings.api->most_connections;
     server.idle_us = settings.api->idle_us;
     server.accepts_per_s = settings.api->accepts_per_s;
-    server.most_octets = settings.api->desk.api.most_octets;
-    api = std::make_unique<ws::Server>(&runtime.context(), server, node.desk());
+    server.most_octets = settings.api->session_manager.api.most_octets;
+    api = std::make_unique<ws::Server>(&runtime.context(), server, node.session_manager());
   }
   const auto metrics = [&] {
     nlohmann::json all = node.Metrics();
@@ -166,7 +166,8 @@
         if (fresh->faults.empty()) {
           node.SetClassifier(fresh->classifier);
           if (!fresh->customers.empty()) node.SetCustomers(fresh->customers);
-          if (node.desk() != nullptr && !fresh->token_keys.empty()) node.desk()->SetKeys(fresh->token_keys);
+          if (node.session_manager() != nullptr && !fresh->token_keys.empty())
+            node.session_manager()->SetKeys(fresh->token_keys);
           const std::size_t rules = fresh->classifier == nullptr ? 0 : fresh->classifier->rules().rules.size();
           log.Write(core::LogLevel::kInfo, "rules-reloaded", 0,
                     std::to_string(rules) + " rules, version " + std::to_string(node.rules_version()));
--- a/src/edge/platform_main.cpp
+++ b/src/edge/platform_main.cpp
@@ -46,7 +46,7 @@
         tell_(runtime_.context(), {SIGUSR1},
               [this] { log_->Write(core::LogLevel::kWarning, "metrics", 0, node_->Metrics()); }),
         details_(runtime_.context(), {SIGUSR2},
-                 [this] { log_->SetLevel(log_->Wants(core::LogLevel::kDebug) ? "info" : "debug"); }) {
+                 [this] { log_->SetLevel(log_->IsEnabled(core::LogLevel::kDebug) ? "info" : "debug"); }) {
     std::signal(SIGPIPE, SIG_IGN);
   }
 
--- a/src/edge/roster_client.cpp
+++ b/src/edge/roster_client.cpp
@@ -39,7 +39,7 @@
 }
 
 RosterClient::RosterClient(const RosterSettings& settings, core::Runtime* runtime, core::CallCore* core,
-                           core::LogSink* log)
+                           core::Logger* log)
     : settings_(settings), runtime_(runtime), core_(core), log_(log), ask_(runtime) {
   port_ = runtime_->OpenPort(settings_.listen, this);
   Ask();
@@ -60,17 +60,17 @@
   }
   DirectoryUpdate directory;
   switch (view_.Apply(runtime_->Now(), *update, &directory)) {
-    case core::RosterView::Verdict::kApplied:
+    case core::RosterView::UpdateResult::kApplied:
       ++counters_.updates;
       want_full_ = false;
       log_->Write(
           core::LogLevel::kInfo, "roster", 0,
           "version " + std::to_string(update->version) + ", " + std::to_string(update->entries.size()) + " entries");
       return core_->OnDirectory(directory);
-    case core::RosterView::Verdict::kOld:
+    case core::RosterView::UpdateResult::kStale:
       ++counters_.old;
       return;
-    case core::RosterView::Verdict::kGap:
+    case core::RosterView::UpdateResult::kGap:
       // Asked at once: until the full list is here, a drain may be unknown to us.
       ++counters_.gaps;
       if (!want_full_) {
@@ -78,7 +78,7 @@
         Ask();
       }
       return;
-    case core::RosterView::Verdict::kTooMany:
+    case core::RosterView::UpdateResult::kTooManyEntries:
       ++counters_.malformed;
       return;
   }
--- a/src/edge/roster_client.h
+++ b/src/edge/roster_client.h
@@ -19,13 +19,13 @@
 // Nothing on anything that is not an update.
 std::optional<core::RosterUpdate> ParseRosterUpdate(std::string_view text);
 
-class RosterClient final : public core::DatagramSink {
+class RosterClient final : public core::DatagramHandler {
  public:
   struct Counters {
     std::uint64_t updates = 0, old = 0, gaps = 0, malformed = 0;
   };
 
-  RosterClient(const RosterSettings& settings, core::Runtime* runtime, core::CallCore* core, core::LogSink* log);
+  RosterClient(const RosterSettings& settings, core::Runtime* runtime, core::CallCore* core, core::Logger* log);
   void OnDatagram(const core::Address& from, std::string_view bytes) override;
   const Counters& counters() const { return counters_; }
   std::uint64_t version() const { return view_.version(); }
@@ -36,7 +36,7 @@
   RosterSettings settings_;
   core::Runtime* runtime_;
   core::CallCore* core_;
-  core::LogSink* log_;
+  core::Logger* log_;
   core::RosterView view_;
   bool want_full_ = false;
   Counters counters_;
--- a/src/edge/trunk_gateway.cpp
+++ b/src/edge/trunk_gateway.cpp
@@ -106,7 +106,7 @@
   // All circuits of a wide call are seized by one datagram; the seizure that carries the address comes last, so
   // that the gateway can turn the whole call away if any of the others was taken.
   const mgcp::Transactions::Cork cork(transactions_);
-  const core::Offer& offer = *set_up.offer;
+  const core::CallRequest& offer = *set_up.offer;
   std::string others;
   for (std::size_t i = 1; i < set_up.set.circuits.size(); ++i)
     others += (others.empty() ? "" : ",") + std::to_string(set_up.set.circuits[i]);
@@ -250,7 +250,7 @@
 
 void TrunkGateway::OnIncoming(Key key, const mgcp::EventRef& sup, const mgcp::Message& message) {
   ++counters_.incoming;
-  core::Offer offer;
+  core::CallRequest offer;
   offer.called = mgcp::Argument(sup.parameters, "addr");
   offer.calling = mgcp::Argument(sup.parameters, "id");
   const int origin = wire_names::Number<int>(message.Get(wire_names::kOrigin)).value_or(-1);
@@ -278,10 +278,10 @@
   offer.destination = meaning->destination;
   offer.width = circuits.size();
   const CallClass& call_class = settings_.core.module.classes[static_cast<std::size_t>(offer.call_class)];
-  offer.patience_us = call_class.deadline_us;
+  offer.caller_timeout_us = call_class.deadline_us;
   if (const auto patience = wire_names::Number<std::uint32_t>(message.Get(wire_names::kPatience)))
-    offer.patience_us = TimeUs{*patience} * 1000;
-  offer.patience_us -= std::min(offer.patience_us, runtime_->Backlog());  // it runs from the arrival
+    offer.caller_timeout_us = TimeUs{*patience} * 1000;
+  offer.caller_timeout_us -= std::min(offer.caller_timeout_us, runtime_->QueueDelay());  // it runs from the arrival
   // The legs stand before the core takes the call: it may answer or refuse at once. Their call is known with it.
   for (const core::CircuitNumber circuit : circuits) {
     const auto held = legs_.find(KeyOf(GroupOf(key), circuit));
@@ -307,11 +307,11 @@
     leg.request = next_request_++;
     legs_[at] = leg;
   }
-  const core::Incoming taken = core_->TakeIncoming(GroupOf(key), circuits, offer, origin);
-  if (taken != core::Incoming::kTaken) {
+  const core::SeizureResult taken = core_->AcceptIncoming(GroupOf(key), circuits, offer, origin);
+  if (taken != core::SeizureResult::kAccepted) {
     ++counters_.refused_incoming;
     for (const core::CircuitNumber circuit : circuits) legs_.erase(KeyOf(GroupOf(key), circuit));
-    refusal.cause = taken == core::Incoming::kGlare ? ReleaseCause::kGlare : ReleaseCause::kNotInService;
+    refusal.cause = taken == core::SeizureResult::kGlare ? ReleaseCause::kGlare : ReleaseCause::kNotInService;
     return Clear(key, "", false, refusal);
   }
   // Refused or failed at once, the legs are gone; else they belong to the call that holds the circuit.
@@ -325,7 +325,7 @@
 void TrunkGateway::OnReleased(Key key, std::uint32_t request, const mgcp::EventRef& rel, const mgcp::Message& message) {
   ReleaseInfo info;
   info.cause = CauseOf(rel.parameters);
-  info.at = wire_names::Number<int>(message.Get(wire_names::kAt)).value_or(-1);
+  info.exchange_number = wire_names::Number<int>(message.Get(wire_names::kAt)).value_or(-1);
   info.wait_us = TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kWait)).value_or(0)} * 1000;
   info.load = LoadOf(message);
   const auto found = legs_.find(key);
@@ -409,7 +409,7 @@
   if (!connection.empty()) writer.Line("I", connection);
   body += Request(state.request, "MS/sup, MS/rlc");
   writer.Line("S", RelSignal(info));
-  if (info.at >= 0) writer.Line(wire_names::kAt, std::to_string(info.at));
+  if (info.exchange_number >= 0) writer.Line(wire_names::kAt, std::to_string(info.exchange_number));
   if (info.wait_us > 0) writer.Line(wire_names::kWait, std::to_string(info.wait_us / 1000));
   Send(key, Verb::kDlcx, std::move(body), [this, key, request = state.request](const Answered& answered) {
     if (answered.ok()) unarmed_.erase(key);
@@ -585,7 +585,7 @@
   }
 }
 
-void TrunkGateway::Probe(int group) {
+void TrunkGateway::ProbeGroup(int group) {
   const TimeUs sent = runtime_->Now();
   const std::string endpoint = std::string(wire_names::kFar) + std::to_string(group) + "@" + settings_.domain;
   transactions_->Send(settings_.gateway, {Verb::kAuep, endpoint, "F: ES\r\n", [this, group, sent](const Answered& a) {
--- a/src/edge/trunk_gateway.h
+++ b/src/edge/trunk_gateway.h
@@ -39,8 +39,8 @@
   void Answer(const core::CircuitSet& set, std::string_view session) override;
   void Connect(const core::CircuitSet& set, std::string_view session) override;
   void Release(const core::CircuitSet& set, const core::ReleaseInfo& info) override;
-  void Probe(int group) override;
-  void Look(int group, core::CircuitNumber circuit) override { Audit(KeyOf(group, circuit)); }
+  void ProbeGroup(int group) override;
+  void CheckCircuit(int group, core::CircuitNumber circuit) override { Audit(KeyOf(group, circuit)); }
 
   const Counters& counters() const { return counters_; }
   // A call, or the release of one, is on this circuit.
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -661,7 +661,7 @@
     ++sum.sent;
     if (record.set_up_us > 0) {
       ++sum.stood;
-    } else if (outcome == Outcome::kFull) {
+    } else if (outcome == Outcome::kRejected) {
       ++sum.turned_back;
     } else if (record.outcome < kOutcomes && outcome != Outcome::kCancelled && outcome != Outcome::kOk) {
       ++sum.lost;
--- a/src/flow/recorder.cpp
+++ b/src/flow/recorder.cpp
@@ -15,7 +15,7 @@
 }
 
 void Recorder::Stamp(TimeUs from, TimeUs to, FlowRecord* record) const {
-  const std::int64_t wall = runtime_->WallUs();
+  const std::int64_t wall = runtime_->WallClockUs();
   const TimeUs now = runtime_->Now();
   const auto ago = [&](TimeUs at) {
     const std::int64_t us = wall - static_cast<std::int64_t>(now - std::min(now, at));
@@ -49,7 +49,7 @@
 }
 
 void Recorder::Describe(const core::CallRecord& record, FlowRecord* flow) {
-  const core::Offer& offer = *record.offer;
+  const core::CallRequest& offer = *record.offer;
   flow->call = record.call;
   flow->origin = record.origin;
   flow->destination = offer.destination;
@@ -64,7 +64,7 @@
   if (record.in_transit) flow->group_in = record.group_in;
 }
 
-void Recorder::OnStands(const core::CallRecord& record) {
+void Recorder::OnEstablished(const core::CallRecord& record) {
   const auto found = open_.find(record.call);
   if (found == open_.end() && open_.size() >= settings_.most_open) return;  // it is told of at its end only
   Open& open = found != open_.end() ? found->second : open_[record.call];
@@ -83,7 +83,8 @@
   if (record.answer) {
     flow.answer = static_cast<std::uint8_t>(1 + static_cast<int>(record.answer->kind));
     flow.cause = static_cast<std::uint8_t>(record.answer->cause);
-    if (record.answer->kind == core::FinalKind::kStands) flow.set_up_us = Short(record.answered_at - record.taken_at);
+    if (record.answer->kind == core::FinalKind::kEstablished)
+      flow.set_up_us = Short(record.answered_at - record.taken_at);
     if (record.answer->kind == core::FinalKind::kRefused) flow.end_reason = EndReason::kResources;
     if (record.answer->kind == core::FinalKind::kFailed) flow.end_reason = EndReason::kForced;
   }
--- a/src/flow/recorder.h
+++ b/src/flow/recorder.h
@@ -15,13 +15,13 @@
   std::size_t most_open = 20'000;   // calls whose attempts or standing are remembered
 };
 
-class Recorder final : public core::Observer {
+class Recorder final : public core::CallObserver {
  public:
   // All outlive it.
   Recorder(const RecorderSettings& settings, core::Runtime* runtime, Ring* ring);
 
   void OnAttempt(const core::AttemptRecord& record) override;
-  void OnStands(const core::CallRecord& record) override;
+  void OnEstablished(const core::CallRecord& record) override;
   void OnCall(const core::CallRecord& record) override;
   std::size_t open() const { return open_.size(); }
 
--- a/src/flow/shift.cpp
+++ b/src/flow/shift.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <array>
 
-#include "core/print.h"
+#include "core/format.h"
 
 namespace croftrun::flow {
 namespace {
--- a/src/flow/spool.cpp
+++ b/src/flow/spool.cpp
@@ -106,7 +106,7 @@
 }
 
 std::error_code Spool::Open() {
-  std::error_code error = disk_->MakeFolder(settings_.folder);
+  std::error_code error = disk_->CreateFolder(settings_.folder);
   std::vector<std::string> names;
   if (!error) error = disk_->List(settings_.folder, &names);
   if (error) {
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -53,19 +53,19 @@
     }
     const Exchange* to =
         offer.in_transit ? (direct != nullptr && Takes(*direct, offer) ? direct : nullptr) : Route(offer, direct);
-    if (to == nullptr) return actions_->push_back(Refuse{offer.call, 0});
-    actions_->push_back(Send{offer.call, to->entry.exchange, 0});
+    if (to == nullptr) return actions_->push_back(RefuseCall{offer.call, 0});
+    actions_->push_back(SendSetUp{offer.call, to->entry.exchange, 0});
   }
   void On(const AttemptEnded& ended) {
     Heard(ended.exchange, ended.report);
     if (ended.terminal) return;
-    const bool full = ended.outcome == Outcome::kFull || ended.outcome == Outcome::kMoot;
-    actions_->push_back(full ? Action(Refuse{ended.call, 0}) : Action(Fail{ended.call}));
+    const bool full = ended.outcome == Outcome::kRejected || ended.outcome == Outcome::kNotSent;
+    actions_->push_back(full ? Action(RefuseCall{ended.call, 0}) : Action(FailCall{ended.call}));
   }
-  void On(const ReportHeard& heard) { Heard(heard.exchange, heard.report); }
-  void On(const CallStands&) {}
-  void On(const CallerGone&) {}
-  void On(const TimerDue&) {}
+  void On(const LoadReportReceived& heard) { Heard(heard.exchange, heard.report); }
+  void On(const CallEstablished&) {}
+  void On(const CallAbandoned&) {}
+  void On(const TimerExpired&) {}
   void Heard(ExchangeId exchange, const std::vector<float>& report) {
     if (report.size() < 2) return;
     exchanges_[exchange].free = static_cast<double>(report[0]);
--- a/src/lab/day_picture.cpp
+++ b/src/lab/day_picture.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "core/print.h"
+#include "core/format.h"
 
 namespace croftrun::lab {
 namespace {
--- a/src/lab/doors.cpp
+++ b/src/lab/doors.cpp
@@ -10,8 +10,8 @@
 #include <tuple>
 #include <unordered_map>
 
-#include "core/print.h"
-#include "door/door.h"
+#include "admission/admission_controller.h"
+#include "core/format.h"
 #include "sim/virtual_runtime.h"
 
 namespace croftrun::lab {
@@ -26,32 +26,36 @@
 class Gate {
  public:
   virtual ~Gate() = default;
-  virtual void OnKnock(const door::Knock& knock, TimeUs now, std::vector<door::Verdict>* verdicts) = 0;
-  virtual void OnAnswered(CallId call, bool in_time, TimeUs now, std::vector<door::Verdict>* verdicts) = 0;
-  virtual void OnTime(TimeUs, std::vector<door::Verdict>*) {}
+  virtual void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
+                         std::vector<admission::AdmissionDecision>* decisions) = 0;
+  virtual void OnAnswered(CallId call, bool in_time, TimeUs now,
+                          std::vector<admission::AdmissionDecision>* decisions) = 0;
+  virtual void OnTimer(TimeUs, std::vector<admission::AdmissionDecision>*) {}
   virtual std::size_t waiting() const { return 0; }
 };
 
 class Open final : public Gate {
  public:
-  void OnKnock(const door::Knock& knock, TimeUs, std::vector<door::Verdict>* verdicts) override {
-    verdicts->push_back({knock.call, true, 0, false});
+  void OnRequest(const admission::AdmissionRequest& request, TimeUs,
+                 std::vector<admission::AdmissionDecision>* decisions) override {
+    decisions->push_back({request.call, true, 0, false});
   }
-  void OnAnswered(CallId, bool, TimeUs, std::vector<door::Verdict>*) override {}
+  void OnAnswered(CallId, bool, TimeUs, std::vector<admission::AdmissionDecision>*) override {}
 };
 
 // A rate that the network can bear, and nobody is told when to come back.
 class TokenBucket final : public Gate {
  public:
   explicit TokenBucket(double per_s) : limit_{per_s, per_s / 10.0} { bucket_.tokens = limit_.burst; }
-  void OnKnock(const door::Knock& knock, TimeUs now, std::vector<door::Verdict>* verdicts) override {
-    verdicts->push_back({knock.call, bucket_.Take(limit_, now), 0, false});
+  void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
+                 std::vector<admission::AdmissionDecision>* decisions) override {
+    decisions->push_back({request.call, bucket_.TryConsume(limit_, now), 0, false});
   }
-  void OnAnswered(CallId, bool, TimeUs, std::vector<door::Verdict>*) override {}
+  void OnAnswered(CallId, bool, TimeUs, std::vector<admission::AdmissionDecision>*) override {}
 
  private:
-  door::BucketSettings limit_;
-  door::Bucket bucket_;
+  admission::TokenBucketSettings limit_;
+  admission::TokenBucket bucket_;
 };
 
 // First come, first served, as many at once as the network bears; who waited too long is answered when its
@@ -59,24 +63,25 @@
 class Fifo final : public Gate {
  public:
   explicit Fifo(std::size_t at_once) : at_once_(at_once) {}
-  void OnKnock(const door::Knock& knock, TimeUs now, std::vector<door::Verdict>* verdicts) override {
-    if (queue_.size() >= kMostWaiting) return verdicts->push_back({knock.call, false, 0, false});
-    queue_.push_back({knock.call, now + knock.patience_us});
-    Serve(now, verdicts);
+  void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
+                 std::vector<admission::AdmissionDecision>* decisions) override {
+    if (queue_.size() >= kMostWaiting) return decisions->push_back({request.call, false, 0, false});
+    queue_.push_back({request.call, now + request.caller_timeout_us});
+    Serve(now, decisions);
   }
-  void OnAnswered(CallId, bool, TimeUs now, std::vector<door::Verdict>* verdicts) override {
+  void OnAnswered(CallId, bool, TimeUs now, std::vector<admission::AdmissionDecision>* decisions) override {
     --under_way_;
-    Serve(now, verdicts);
+    Serve(now, decisions);
   }
   std::size_t waiting() const override { return queue_.size(); }
 
  private:
-  void Serve(TimeUs now, std::vector<door::Verdict>* verdicts) {
+  void Serve(TimeUs now, std::vector<admission::AdmissionDecision>* decisions) {
     while (!queue_.empty() && under_way_ < at_once_) {
       const auto [call, until] = queue_.front();
       queue_.pop_front();
       if (until > now) ++under_way_;
-      verdicts->push_back({call, until > now, 0, false});
+      decisions->push_back({call, until > now, 0, false});
     }
   }
   std::size_t at_once_, under_way_ = 0;
@@ -85,18 +90,22 @@
 
 class Fair final : public Gate {
  public:
-  explicit Fair(const door::DoorSettings& settings) : door_(settings) {}
-  void OnKnock(const door::Knock& knock, TimeUs now, std::vector<door::Verdict>* verdicts) override {
-    door_.OnKnock(knock, now, verdicts);
+  explicit Fair(const admission::AdmissionSettings& settings) : door_(settings) {}
+  void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
+                 std::vector<admission::AdmissionDecision>* decisions) override {
+    door_.OnRequest(request, now, decisions);
   }
-  void OnAnswered(CallId call, bool in_time, TimeUs now, std::vector<door::Verdict>* verdicts) override {
-    door_.OnAnswered(call, in_time, now, verdicts);
+  void OnAnswered(CallId call, bool in_time, TimeUs now,
+                  std::vector<admission::AdmissionDecision>* decisions) override {
+    door_.OnAnswered(call, in_time, now, decisions);
+  }
+  void OnTimer(TimeUs now, std::vector<admission::AdmissionDecision>* decisions) override {
+    door_.OnTimer(now, decisions);
   }
-  void OnTime(TimeUs now, std::vector<door::Verdict>* verdicts) override { door_.OnTime(now, verdicts); }
   std::size_t waiting() const override { return door_.waiting(); }
 
  private:
-  door::Door door_;
+  admission::AdmissionController door_;
 };
 
 std::unique_ptr<Gate> MakeGate(const std::string& name, const DoorsSettings& s) {
@@ -104,7 +113,7 @@
   if (name == "fifo") return std::make_unique<Fifo>(static_cast<std::size_t>(s.at_once));
   if (name == "token bucket") return std::make_unique<TokenBucket>(s.at_once * 1e6 / static_cast<double>(s.set_up_us));
   if (name != "fair") throw std::invalid_argument("expected fair, fifo, token bucket or none, found " + name);
-  door::DoorSettings settings;
+  admission::AdmissionSettings settings;
   settings.limiter.first = s.at_once;
   settings.longest_pause_us = 10 * kSecond;
   settings.customers = {{}, {}};
@@ -150,7 +159,7 @@
   // The gate is told the time before anything happens.
   void In(TimeUs delay, std::function<void()> what) {
     clock_.StartTimer(delay, [this, what = std::move(what)] {
-      Carry([this](auto* verdicts) { gate_->OnTime(Now(), verdicts); });
+      Carry([this](auto* decisions) { gate_->OnTimer(Now(), decisions); });
       what();
     });
   }
@@ -176,20 +185,20 @@
     const std::string name =
         client < 0 ? "made up " + std::to_string(call) : clients_[static_cast<std::size_t>(client)].name;
     const int customer = client < 0 ? 0 : clients_[static_cast<std::size_t>(client)].customer;
-    Carry([&](auto* verdicts) {
-      gate_->OnKnock({call, name, called, customer, 1.0, s_.patience_us}, Now(), verdicts);
+    Carry([&](auto* decisions) {
+      gate_->OnRequest({call, name, called, customer, 1.0, s_.patience_us}, Now(), decisions);
     });
   }
-  void Carry(const std::function<void(std::vector<door::Verdict>*)>& what) {
-    std::vector<door::Verdict> verdicts;
-    what(&verdicts);
+  void Carry(const std::function<void(std::vector<admission::AdmissionDecision>*)>& what) {
+    std::vector<admission::AdmissionDecision> decisions;
+    what(&decisions);
     figures_.most_waiting = std::max<std::uint64_t>(figures_.most_waiting, gate_->waiting());
-    for (const door::Verdict& verdict : verdicts) {
-      const auto found = tries_.find(verdict.call);
+    for (const admission::AdmissionDecision& decision : decisions) {
+      const auto found = tries_.find(decision.call);
       if (found == tries_.end()) continue;
       const Try one = found->second;
       tries_.erase(found);
-      verdict.admitted ? Admitted(verdict.call, one) : Refused(verdict, one);
+      decision.admitted ? Admitted(decision.call, one) : Refused(decision, one);
     }
   }
   void Admitted(CallId call, const Try& one) {
@@ -200,13 +209,13 @@
       const bool in_time = Now() <= one.until;
       if (one.client >= 0 && one.counted && in_time) ++clients_[static_cast<std::size_t>(one.client)].stood;
       told_stood_ += one.told && in_time ? 1 : 0;
-      Carry([&](auto* verdicts) { gate_->OnAnswered(call, in_time, Now(), verdicts); });
+      Carry([&](auto* decisions) { gate_->OnAnswered(call, in_time, Now(), decisions); });
     });
   }
-  void Refused(const door::Verdict& verdict, const Try& one) {
+  void Refused(const admission::AdmissionDecision& decision, const Try& one) {
     if (one.client < 0 || one.redials == 0) return;
-    const bool told = verdict.promised;
-    const TimeUs pause = verdict.pause_us > 0 ? verdict.pause_us : 300'000;
+    const bool told = decision.promised;
+    const TimeUs pause = decision.pause_us > 0 ? decision.pause_us : 300'000;
     In(pause, [this, one, told] {
       told_ += told ? 1 : 0;
       Dial(one.client, one.called, one.redials - 1, told, one.counted);
--- a/src/lab/path.cpp
+++ b/src/lab/path.cpp
@@ -5,9 +5,9 @@
 namespace croftrun::lab {
 
 // Records on the near side of the faults: what an edge sent counts as sent though it is then lost.
-class Path::Port final : public core::DatagramPort, public core::DatagramSink {
+class Path::Port final : public core::DatagramPort, public core::DatagramHandler {
  public:
-  Port(Path* path, const core::Address& local, core::DatagramSink* sink)
+  Port(Path* path, const core::Address& local, core::DatagramHandler* sink)
       : path_(path), sink_(sink), alive_(std::make_shared<bool>(true)), port_(path->runtime_->OpenPort(local, this)) {}
   ~Port() override { *alive_ = false; }
 
@@ -34,12 +34,12 @@
   }
 
   Path* path_;
-  core::DatagramSink* sink_;
+  core::DatagramHandler* sink_;
   std::shared_ptr<bool> alive_;  // datagrams held back may come due after the port is gone
   std::unique_ptr<core::DatagramPort> port_;
 };
 
-std::unique_ptr<core::DatagramPort> Path::OpenPort(const core::Address& local, core::DatagramSink* sink) {
+std::unique_ptr<core::DatagramPort> Path::OpenPort(const core::Address& local, core::DatagramHandler* sink) {
   return std::make_unique<Port>(this, local, sink);
 }
 
--- a/src/lab/path.h
+++ b/src/lab/path.h
@@ -23,13 +23,13 @@
  public:
   Path(core::Runtime* runtime, Trace* trace, std::uint64_t seed) : runtime_(runtime), trace_(trace), random_(seed) {}
 
-  std::int64_t WallUs() const override { return runtime_->WallUs(); }
+  std::int64_t WallClockUs() const override { return runtime_->WallClockUs(); }
   TimeUs Now() const override { return runtime_->Now(); }
   core::TimerId StartTimer(TimeUs delay, std::function<void()> due) override {
     return runtime_->StartTimer(delay, std::move(due));
   }
   void CancelTimer(core::TimerId timer) override { runtime_->CancelTimer(timer); }
-  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramSink* sink) override;
+  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* sink) override;
   std::uint64_t Random() override { return random_(); }
 
   void SetFaults(const PathFaults& faults) { faults_ = faults; }
--- a/src/lab/platform_stand_ins.cpp
+++ b/src/lab/platform_stand_ins.cpp
@@ -35,7 +35,7 @@
   for (const auto& link : links_) link->Break();
 }
 
-core::StreamSink* PlatformExchange::OnAccept(std::unique_ptr<core::Stream> stream) {
+core::StreamHandler* PlatformExchange::OnAccept(std::unique_ptr<core::Stream> stream) {
   links_.push_back(std::make_unique<PlatformLink>([this](PlatformLink& link, const std::string& line) {
     const auto message = platform::ParseMessage(line);
     if (!message) return;
@@ -76,7 +76,7 @@
 PlatformBoard::PlatformBoard(core::Runtime* runtime, const core::Address& address)
     : listener_(runtime->Listen(address, this)) {}
 
-core::StreamSink* PlatformBoard::OnAccept(std::unique_ptr<core::Stream> stream) {
+core::StreamHandler* PlatformBoard::OnAccept(std::unique_ptr<core::Stream> stream) {
   links_.push_back(std::make_unique<PlatformLink>([this](PlatformLink& link, const std::string& line) {
     constexpr std::string_view kHeader = "Last-Event-ID: ";
     if (line.rfind(kHeader, 0) == 0) {
--- a/src/lab/platform_stand_ins.h
+++ b/src/lab/platform_stand_ins.h
@@ -18,7 +18,7 @@
 namespace croftrun::lab {
 
 // A connection of a stand-in, either way.
-class PlatformLink final : public core::StreamSink {
+class PlatformLink final : public core::StreamHandler {
  public:
   using OnLine = std::function<void(PlatformLink&, const std::string& line)>;
   explicit PlatformLink(OnLine on_line) : on_line_(std::move(on_line)) {}
@@ -47,7 +47,7 @@
   // Called for each set-up; by default it is answered at once.
   using OnSetUp = std::function<void(PlatformLink&, const platform::Message&)>;
   PlatformExchange(core::Runtime* runtime, const core::Address& address);
-  core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override;
+  core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override;
   static void Answer(PlatformLink& link, const std::string& id, const std::string& description);
   static void Release(PlatformLink& link, const std::string& id, int cause, const std::string& note = "");
   // The process dies, or takes up again.
@@ -70,7 +70,7 @@
 class PlatformBoard final : public core::StreamAcceptor {
  public:
   PlatformBoard(core::Runtime* runtime, const core::Address& address);
-  core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override;
+  core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override;
   // An event to all that listen, and kept for those that ask for it later.
   void Tell(std::uint64_t number, const std::string& data);
   // Kept for those that ask for it later; told to nobody now.
--- a/src/lab/roster_server.h
+++ b/src/lab/roster_server.h
@@ -20,7 +20,7 @@
   TimeUs started_us = 0;
 };
 
-class RosterServer final : public core::DatagramSink {
+class RosterServer final : public core::DatagramHandler {
  public:
   static constexpr std::size_t kMostSubscribers = 1024;
 
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -143,7 +143,7 @@
   }
   ReadTraffic(file.at("traffic"), &s);
   Value(file, "edge_rules", &s.edge_rules);
-  if (file.contains("edge_door")) s.edge_door = file.at("edge_door");
+  if (file.contains("edge_door")) s.edge_admission = file.at("edge_door");
   if (s.edges > s.exchanges)
     mistakes->push_back({"/fleet/edges", "expected at most as many as exchanges (" + std::to_string(s.exchanges) +
                                              "), found " + std::to_string(s.edges)});
@@ -250,7 +250,7 @@
                      {"tells_wait", s.processor.tells_wait}};
   if (!s.processor.reports.empty()) file["network"]["reports"] = json::array({s.processor.reports});
   if (!s.edge_rules.empty()) file["rules"] = s.edge_rules;
-  if (!s.edge_door.is_null()) file["door"] = s.edge_door;
+  if (!s.edge_admission.is_null()) file["door"] = s.edge_admission;
   if (!s.flow_folder.empty()) {
     const std::string spool = s.flow_folder + "/spool-" + std::to_string(number);
     file["flow"] = {{"collectors",
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -63,7 +63,7 @@
   double calls_per_s = 10.0;
   std::vector<TrafficClass> classes;
   std::vector<std::string> edge_rules;
-  nlohmann::json edge_door;  // of the settings of every edge; null: none
+  nlohmann::json edge_admission;  // of the settings of every edge; null: none
   std::pair<double, double> try_share = {0.34, 0.4};
   int redials = 2;
   std::pair<TimeUs, TimeUs> redial_us = {200'000, 800'000};
--- a/src/lab/soak/discovery_stand_in.cpp
+++ b/src/lab/soak/discovery_stand_in.cpp
@@ -32,7 +32,7 @@
 }  // namespace
 
 // One request of the softswitch and its answer, which does not end.
-class DiscoveryStandIn::Watch final : public core::StreamSink {
+class DiscoveryStandIn::Watch final : public core::StreamHandler {
  public:
   Watch(DiscoveryStandIn* owner, std::unique_ptr<core::Stream> accepted) : stream(std::move(accepted)), owner_(owner) {}
   void OnBytes(std::string_view bytes) override {
@@ -70,7 +70,7 @@
 
 DiscoveryStandIn::~DiscoveryStandIn() = default;
 
-core::StreamSink* DiscoveryStandIn::OnAccept(std::unique_ptr<core::Stream> stream) {
+core::StreamHandler* DiscoveryStandIn::OnAccept(std::unique_ptr<core::Stream> stream) {
   watches_.push_back(std::make_unique<Watch>(this, std::move(stream)));
   return watches_.back().get();
 }
--- a/src/lab/soak/discovery_stand_in.h
+++ b/src/lab/soak/discovery_stand_in.h
@@ -35,7 +35,7 @@
   void SetSilent(bool silent);
   // The value of `known` in a configuration that is written now.
   nlohmann::json Known() const;
-  core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override;
+  core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override;
 
  private:
   class Watch;
--- a/src/lab/soak/exchange_stand_in.cpp
+++ b/src/lab/soak/exchange_stand_in.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 // A connection of a softswitch.
-class ExchangeStandIn::Connection final : public core::StreamSink {
+class ExchangeStandIn::Connection final : public core::StreamHandler {
  public:
   Connection(ExchangeStandIn* owner, int s, std::unique_ptr<core::Stream> accepted)
       : softswitch(s), stream(std::move(accepted)), owner_(owner) {}
@@ -46,7 +46,7 @@
  public:
   Door(ExchangeStandIn* owner, int softswitch, const core::Address& address)
       : owner_(owner), softswitch_(softswitch), listener_(owner->runtime_->Listen(address, this)) {}
-  core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override {
+  core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override {
     owner_->connections_.push_back(std::make_unique<Connection>(owner_, softswitch_, std::move(stream)));
     Connection* const connection = owner_->connections_.back().get();
     owner_->OnOpened(connection);
--- a/src/lab/soak/trial.cpp
+++ b/src/lab/soak/trial.cpp
@@ -217,7 +217,7 @@
 
 void Trial::ListColdStart(Exchange& exchange) {
   record_.Note({.kind = EventKind::kColdStart, .exchange = exchange.machine->instance()});
-  List(SlotOf(exchange), exchange.draining ? "Terminating" : "Ready", runtime_.WallUs() / 1000);
+  List(SlotOf(exchange), exchange.draining ? "Terminating" : "Ready", runtime_.WallClockUs() / 1000);
 }
 
 void Trial::List(int slot, const std::string& state, std::int64_t boot_ms) {
--- a/src/lab/virtual_day.h
+++ b/src/lab/virtual_day.h
@@ -20,19 +20,19 @@
 namespace croftrun::lab {
 
 // Keeps what is logged as an error.
-class QuietLog final : public core::LogSink {
+class QuietLog final : public core::Logger {
  public:
   void Write(core::LogLevel level, std::string_view event, CallId, std::string_view detail) override {
     if (level == core::LogLevel::kError) errors.push_back(std::string(event) + ": " + std::string(detail));
   }
-  bool Wants(core::LogLevel level) const override { return level == core::LogLevel::kError; }
+  bool IsEnabled(core::LogLevel level) const override { return level == core::LogLevel::kError; }
   std::vector<std::string> errors;
 };
 
 class InProcessEdges final : public EdgeHost {
  public:
   // `decider`: who decides in place of the module; null: the module.
-  InProcessEdges(core::Runtime* runtime, core::LogSink* log, core::MakeDecider decider = {})
+  InProcessEdges(core::Runtime* runtime, core::Logger* log, core::MakeDecider decider = {})
       : runtime_(runtime), log_(log), decider_(std::move(decider)) {}
   void Start(int number, const std::string& settings_json) override {
     std::vector<config::Mistake> mistakes;
@@ -66,7 +66,7 @@
     std::unique_ptr<edge::EdgeNode> node;
   };
   core::Runtime* runtime_;
-  core::LogSink* log_;
+  core::Logger* log_;
   core::MakeDecider decider_;
   std::map<int, Running> edges_;
 };
--- a/src/mgcp/transactions.cpp
+++ b/src/mgcp/transactions.cpp
@@ -39,7 +39,7 @@
 }
 
 // Strangers end here: no history, no estimate of a round trip, no place in a queue behind which a gateway would wait.
-bool Transactions::Wants(const Address& from, std::string_view bytes) {
+bool Transactions::ShouldReceive(const Address& from, std::string_view bytes) {
   if (guard_.Knows(from)) return true;
   const char first = bytes.empty() ? '\0' : bytes.front();
   if (first >= '0' && first <= '9') {
@@ -149,7 +149,7 @@
   const double spread = 1.0 + 0.1 * static_cast<double>(runtime_->Random() % 1000) / 1000.0;
   // The answer may be in the own queue already; what that takes is no loss on the way. Without this an agent that has
   // fallen behind repeats its commands, has each answered again, and falls further behind.
-  pending.allowed = runtime_->Backlog();
+  pending.allowed = runtime_->QueueDelay();
   const auto wait = static_cast<TimeUs>(static_cast<double>(pending.timeout) * spread) + pending.allowed;
   pending.timer = runtime_->StartTimer(wait, [this, transaction] { Repeat(transaction); });
 }
@@ -163,7 +163,7 @@
     ++counters_.given_up;
     return Finish(transaction, Ending::kNoAnswer, nullptr);
   }
-  if (runtime_->Backlog() > pending.allowed + pending.timeout / 2) {  // the queue grew since
+  if (runtime_->QueueDelay() > pending.allowed + pending.timeout / 2) {  // the queue grew since
     ++counters_.postponed;
     return Arm(transaction, pending);
   }
--- a/src/mgcp/transactions.h
+++ b/src/mgcp/transactions.h
@@ -52,7 +52,7 @@
   std::uint64_t postponed = 0;  // repeats put off, as the own queue was long
 };
 
-class Transactions : public core::DatagramSink {
+class Transactions : public core::DatagramHandler {
  public:
   using OnAnswer = std::function<void(const Answered&)>;
   // A command to send: everything below its first line, and what to do with the answer.
@@ -102,7 +102,7 @@
   void RespondProvisionally(CommandId command);
 
   void OnDatagram(const Address& from, std::string_view bytes) override;
-  bool Wants(const Address& from, std::string_view bytes) override;
+  bool ShouldReceive(const Address& from, std::string_view bytes) override;
 
   const TransactionCounters& counters() const { return counters_; }
   const StrangerCounters& strangers() const { return strangers_; }
--- a/src/platform/callers.cpp
+++ b/src/platform/caller_connections.cpp
@@ -1,4 +1,4 @@
-#include "platform/callers.h"
+#include "platform/caller_connections.h"
 
 #include <algorithm>
 #include <charconv>
@@ -39,9 +39,9 @@
 
 }  // namespace
 
-class Callers::Link final : public core::StreamSink {
+class CallerConnections::Link final : public core::StreamHandler {
  public:
-  Link(Callers* owner, std::unique_ptr<core::Stream> s, TimeUs now, ConnectionNumber n)
+  Link(CallerConnections* owner, std::unique_ptr<core::Stream> s, TimeUs now, ConnectionNumber n)
       : stream(std::move(s)),
         number(n),
         host(stream->Remote().host),
@@ -82,43 +82,48 @@
   bool spoke = false;  // a whole line came
   TimeUs partial_since = 0;
   bool of_use = false, brought_calls = false;
-  std::size_t set_ups = 0;                            // open on it
-  std::size_t standing = 0;                           // calls that stand and were set up on it
-  std::unordered_set<CallId> calls;                   // all of these
-  std::vector<std::pair<CallId, core::Offer>> fresh;  // set-ups that are not offered to the core yet
+  std::size_t set_ups = 0;                                  // open on it
+  std::size_t standing = 0;                                 // calls that stand and were set up on it
+  std::unordered_set<CallId> calls;                         // all of these
+  std::vector<std::pair<CallId, core::CallRequest>> fresh;  // set-ups that are not offered to the core yet
   LineReader reader;
   Links::iterator place;
 
  private:
-  Callers* owner_;
+  CallerConnections* owner_;
 };
 
-Callers::Callers(const CallerSettings& settings, core::Runtime* runtime, core::LogSink* log, core::CallCore* core,
-                 Exchanges* exchanges)
-    : settings_(settings), runtime_(runtime), log_(log), core_(core), exchanges_(exchanges), sweep_(runtime) {
+CallerConnections::CallerConnections(const CallerSettings& settings, core::Runtime* runtime, core::Logger* log,
+                                     core::CallCore* core, ExchangeConnections* exchange_connections)
+    : settings_(settings),
+      runtime_(runtime),
+      log_(log),
+      core_(core),
+      exchange_connections_(exchange_connections),
+      sweep_(runtime) {
   for (std::size_t i = 0; i < settings_.classes.size(); ++i)
     classes_.emplace(settings_.classes[i], static_cast<int>(i));
 }
 
-Callers::~Callers() = default;
+CallerConnections::~CallerConnections() = default;
 
-void Callers::Listen() {
+void CallerConnections::Listen() {
   listener_ = runtime_->Listen(settings_.listen, this);
   sweep_.Start(kSweepEvery, [this] { Sweep(); });
 }
 
-bool Callers::HasRoom() {
+bool CallerConnections::CanAccept() {
   if (links_.size() < settings_.most_links || Evict()) return true;
   ++counters_.links_waited;
   return false;
 }
 
-bool Callers::Left(CallId call) const {
+bool CallerConnections::HasLeft(CallId call) const {
   const auto found = calls_.find(call);
-  return found != calls_.end() && found->second.link != nullptr && found->second.link->stream->FarEndGone();
+  return found != calls_.end() && found->second.link != nullptr && found->second.link->stream->PeerClosed();
 }
 
-core::StreamSink* Callers::OnAccept(std::unique_ptr<core::Stream> stream) {
+core::StreamHandler* CallerConnections::OnAccept(std::unique_ptr<core::Stream> stream) {
   ++counters_.links;
   last_link_ = runtime_->Now();
   links_.push_back(std::make_unique<Link>(this, std::move(stream), runtime_->Now(), ++last_number_));
@@ -127,8 +132,8 @@
   return link;
 }
 
-void Callers::TellPending(Link* link) {
-  if (!releases_.WaitsFor(link->host) || link->stream->FarEndGone()) return;
+void CallerConnections::TellPending(Link* link) {
+  if (!releases_.WaitsFor(link->host) || link->stream->PeerClosed()) return;
   for (const PendingRelease& release : releases_.TakeFor(link->host, link->number, runtime_->Now())) {
     counters_.end_waited_longest = std::max(counters_.end_waited_longest, runtime_->Now() - release.since);
     counters_.ends_told_again += release.tried.size() > 1 ? 1 : 0;
@@ -138,7 +143,7 @@
   }
 }
 
-bool Callers::Take(Link* link, std::string_view line) {
+bool CallerConnections::Take(Link* link, std::string_view line) {
   if (line.find_first_not_of(" \t\r") == std::string_view::npos) return true;
   const auto message = ParseMessage(line);
   if (!message) {
@@ -179,7 +184,7 @@
   return false;
 }
 
-bool Callers::SetUp(Link* link, const Message& message) {
+bool CallerConnections::SetUp(Link* link, const Message& message) {
   const std::string* const extras_text = message.Field("extras");
   const auto extras = ParseExtras(extras_text != nullptr ? *extras_text : std::string());
   if (const auto open = by_id_.find(message.id); open != by_id_.end()) {
@@ -202,18 +207,18 @@
     Refuse(link, message.id, kInvalidContents);
     return true;
   }
-  core::Offer offer;
+  core::CallRequest offer;
   offer.calling = message.id;
   offer.called = key != nullptr ? *key : std::string();
   offer.key = key != nullptr ? KeyOf(*key) : 0;
   offer.call_class = found->second;
   offer.destination = extras->destination;
   offer.width = static_cast<std::size_t>(extras->width);
-  offer.patience_us = static_cast<TimeUs>(patience.value_or(0.0) * 1000.0);
-  offer.advice = extras->via;
+  offer.caller_timeout_us = static_cast<TimeUs>(patience.value_or(0.0) * 1000.0);
+  offer.advised_tandem = extras->via;
   offer.in_transit = extras->transit;
-  offer.cut_before = extras->again;
-  offer.redialled = message.Field("retry") != nullptr;
+  offer.previously_cut = extras->again;
+  offer.is_redial = message.Field("retry") != nullptr;
   if (adopts) {
     Adopt(link, message, offer, extras->at);
     return true;
@@ -236,20 +241,21 @@
   return true;
 }
 
-void Callers::LogCall(std::string_view event, CallId call, std::string_view id, std::string_view detail) {
-  if (!log_->Wants(core::LogLevel::kDebug)) return;
+void CallerConnections::LogCall(std::string_view event, CallId call, std::string_view id, std::string_view detail) {
+  if (!log_->IsEnabled(core::LogLevel::kDebug)) return;
   log_->Write(core::LogLevel::kDebug, event, call, std::string(id).append(", ").append(detail));
 }
 
-void Callers::Begin(Link* link) {
+void CallerConnections::Begin(Link* link) {
   for (const auto& [call, offer] : std::exchange(link->fresh, {})) {
-    if (calls_.count(call) > 0) core_->Take(offer, this, call);
+    if (calls_.count(call) > 0) core_->AcceptCall(offer, this, call);
   }
 }
 
-void Callers::Adopt(Link* link, const Message& message, const core::Offer& offer, const std::string& at) {
-  const ExchangeId exchange = exchanges_->Find(at);
-  const CallId call = exchange != 0 ? core_->Adopt(offer, this, exchange) : 0;
+void CallerConnections::Adopt(Link* link, const Message& message, const core::CallRequest& offer,
+                              const std::string& at) {
+  const ExchangeId exchange = exchange_connections_->Find(at);
+  const CallId call = exchange != 0 ? core_->AdoptCall(offer, this, exchange) : 0;
   if (call == 0) return Refuse(link, message.id, kTemporaryFailure);
   ++counters_.adopted;
   link->brought_calls = true;
@@ -257,10 +263,10 @@
   link->calls.insert(call);
   ++link->standing;
   by_id_.emplace(message.id, call);
-  exchanges_->Adopt(call, message.id, exchange);
+  exchange_connections_->Adopt(call, message.id, exchange);
 }
 
-void Callers::Release(Link* link, const Message& message) {
+void CallerConnections::Release(Link* link, const Message& message) {
   const auto open = by_id_.find(message.id);
   if (open != by_id_.end()) {
     const CallId call = open->second;
@@ -278,13 +284,13 @@
   Send(link, {.type = MessageType::kHeard, .id = message.id});
 }
 
-void Callers::OnFinal(CallId call, const core::FinalAnswer& answer) {
+void CallerConnections::OnFinalAnswer(CallId call, const core::FinalAnswer& answer) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
   Held& held = found->second;
   Link* const link = held.link;
   Message message{.type = MessageType::kRelease, .id = held.id};
-  if (answer.kind == core::FinalKind::kStands) {
+  if (answer.kind == core::FinalKind::kEstablished) {
     ++counters_.answers;
     held.stands = true;
     --unanswered_;
@@ -298,14 +304,14 @@
     const bool refused = answer.kind == core::FinalKind::kRefused;
     ++(refused ? counters_.refusals : counters_.failures);
     message.cause = refused ? RefusalCause(answer.cause) : kTemporaryFailure;
-    if (answer.pause_us > 0) message.fields.emplace_back("wait", std::to_string(answer.pause_us / 1000));
+    if (answer.retry_after_us > 0) message.fields.emplace_back("wait", std::to_string(answer.retry_after_us / 1000));
     LogCall("call-answered", call, message.id, refused ? "refused" : "failed");
     Forget(call);
   }
   if (link != nullptr) Send(link, message);
 }
 
-void Callers::OnEnded(CallId call, core::ReleaseCause cause) {
+void CallerConnections::OnCallEnded(CallId call, core::ReleaseCause cause) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
   ++counters_.ended;
@@ -315,7 +321,7 @@
   const Message message{.type = MessageType::kRelease, .id = held.id, .cause = told};
   const TimeUs now = runtime_->Now();
   PendingRelease release{.host = held.host, .id = held.id, .line = WriteMessage(message), .since = now};
-  Link* link = held.link != nullptr && !held.link->stream->FarEndGone() ? held.link : AnyLink(held.host);
+  Link* link = held.link != nullptr && !held.link->stream->PeerClosed() ? held.link : AnyLink(held.host);
   if (link == nullptr) {
     LogCall("end-waits", call, held.id, "no connection of its caller");
     ++counters_.ends_without_link;
@@ -329,16 +335,16 @@
 
 // The connection of this caller that brought calls, the latest used; one that never did may be the front's, which only
 // tests, or a stranger's from the same host.
-Callers::Link* Callers::AnyLink(std::uint32_t host) {
+CallerConnections::Link* CallerConnections::AnyLink(std::uint32_t host) {
   Link* best = nullptr;
   for (const auto& link : links_) {
-    if (link->host != host || !link->brought_calls || link->stream->FarEndGone()) continue;
+    if (link->host != host || !link->brought_calls || link->stream->PeerClosed()) continue;
     if (best == nullptr || best->last_use <= link->last_use) best = link.get();
   }
   return best;
 }
 
-void Callers::Forget(CallId call) {
+void CallerConnections::Forget(CallId call) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
   const Held& held = found->second;
@@ -351,14 +357,15 @@
   calls_.erase(found);
 }
 
-void Callers::Refuse(Link* link, const std::string& id, int cause) {
+void CallerConnections::Refuse(Link* link, const std::string& id, int cause) {
   Send(link, {.type = MessageType::kRelease, .id = id, .cause = cause});
 }
 
-void Callers::Send(Link* link, const Message& message) { link->stream->Write(WriteMessage(message)); }
+void CallerConnections::Send(Link* link, const Message& message) { link->stream->Write(WriteMessage(message)); }
 
-void Callers::Drop(Link* link, ConnectionEnd end) {
-  if (end == ConnectionEnd::kClosedHere && link->stream->Pending() > 0) end = ConnectionEnd::kClosedUnwritten;
+void CallerConnections::Drop(Link* link, ConnectionEnd end) {
+  if (end == ConnectionEnd::kClosedHere && link->stream->PendingWriteOctets() > 0)
+    end = ConnectionEnd::kClosedUnwritten;
   releases_.OnConnectionEnded(link->number, end, runtime_->Now());
   const std::uint32_t host = link->host;
   // Its calls first: what the core does about them must not find it any more.
@@ -382,13 +389,13 @@
 // The least useful connection: one that brought nothing though it had time to; else one without a call that stands, as
 // the call's end may find no other connection of its caller; else the one longest idle. None on which a set-up is open,
 // or may just be on its way here.
-bool Callers::Evict() {
+bool CallerConnections::Evict() {
   const TimeUs now = runtime_->Now();
   Link* worst = nullptr;
   for (const auto& link : links_) {
     if (link->set_ups > 0 || now < link->last_use + (link->of_use ? kIdleFor : kSilentFor)) continue;
     const auto rank = [](const Link& x) { return std::make_tuple(x.of_use, x.standing > 0, x.last_use); };
-    if ((worst == nullptr || rank(*link) < rank(*worst)) && !link->stream->Unread()) worst = link.get();
+    if ((worst == nullptr || rank(*link) < rank(*worst)) && !link->stream->HasUnreadInput()) worst = link.get();
   }
   if (worst == nullptr) return false;
   ++counters_.links_evicted;
@@ -398,7 +405,7 @@
   return true;
 }
 
-std::unordered_set<const Callers::Link*> Callers::OnlyWays() {
+std::unordered_set<const CallerConnections::Link*> CallerConnections::OnlyWays() {
   std::unordered_set<std::uint32_t> hosts;
   for (const auto& [call, held] : calls_) {
     if (held.stands && held.link == nullptr) hosts.insert(held.host);
@@ -408,29 +415,29 @@
   return ways;
 }
 
-void Callers::CloseIdle(bool all) {
+void CallerConnections::CloseIdle(bool all) {
   const TimeUs now = runtime_->Now();
   std::vector<Link*> idle;
   const std::unordered_set<const Link*> only_ways = OnlyWays();
   for (const auto& link : links_) {
     if (!all && only_ways.count(link.get()) > 0) continue;
-    const bool nothing_open = link->set_ups == 0 && link->stream->Pending() == 0;
-    if (!nothing_open || link->reader.partial() || link->stream->Unread()) continue;
+    const bool nothing_open = link->set_ups == 0 && link->stream->PendingWriteOctets() == 0;
+    if (!nothing_open || link->reader.partial() || link->stream->HasUnreadInput()) continue;
     const bool nothing_left = link->standing == 0 && now >= link->last_octets + kQuietBeforeClose;
     if (all || nothing_left) idle.push_back(link.get());
   }
   for (Link* const link : idle) Drop(link, ConnectionEnd::kClosedHere);
 }
 
-void Callers::Sweep() {
+void CallerConnections::Sweep() {
   const TimeUs now = runtime_->Now();
   std::vector<Link*> closed;
   for (const auto& link : links_) {
-    if (!link->of_use && now >= link->since + kUseWithin && !link->stream->Unread()) {
+    if (!link->of_use && now >= link->since + kUseWithin && !link->stream->HasUnreadInput()) {
       ++counters_.links_silent;
       closed.push_back(link.get());
     } else if ((link->set_ups == 0 && link->reader.partial() && now >= link->partial_since + kUseWithin) ||
-               link->stream->Pending() > kMostPending) {
+               link->stream->PendingWriteOctets() > kMostPending) {
       // A line that does not end costs no answer that is owed: it is closed once none is.
       ++counters_.links_stuck;
       closed.push_back(link.get());
--- a/src/platform/callers.h
+++ b/src/platform/caller_connections.h
@@ -3,8 +3,8 @@
 // A set-up belongs to the connection that brought it until its final answer; a call that stands belongs to none, and
 // its end is told on any connection of its caller, known by its address, or on its next one. The states of a connection
 // stand in docs/platform.md.
-#ifndef CROFTRUN_PLATFORM_CALLERS_H_
-#define CROFTRUN_PLATFORM_CALLERS_H_
+#ifndef CROFTRUN_PLATFORM_CALLER_CONNECTIONS_H_
+#define CROFTRUN_PLATFORM_CALLER_CONNECTIONS_H_
 
 #include <cstdint>
 #include <list>
@@ -16,7 +16,7 @@
 
 #include "core/call_core.h"
 #include "core/runtime.h"
-#include "platform/exchanges.h"
+#include "platform/exchange_connections.h"
 #include "platform/line_codec.h"
 #include "platform/pending_releases.h"
 
@@ -38,12 +38,12 @@
   TimeUs end_waited_longest = 0;  // of an end, until a connection of its caller was there
 };
 
-class Callers final : public core::Subscriber, public core::StreamAcceptor {
+class CallerConnections final : public core::CallOwner, public core::StreamAcceptor {
  public:
-  // None is owned. `exchanges` is asked for those at which calls stand already.
-  Callers(const CallerSettings& settings, core::Runtime* runtime, core::LogSink* log, core::CallCore* core,
-          Exchanges* exchanges);
-  ~Callers() override;
+  // None is owned. `exchange_connections` is asked for those at which calls stand already.
+  CallerConnections(const CallerSettings& settings, core::Runtime* runtime, core::Logger* log, core::CallCore* core,
+                    ExchangeConnections* exchange_connections);
+  ~CallerConnections() override;
 
   // Starts listening; throws std::system_error.
   void Listen();
@@ -61,12 +61,12 @@
   // `all`: also those with standing calls, and those that were just used.
   void CloseIdle(bool all);
 
-  core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override;
-  void OnNoRoom() override { Evict(); }
-  bool HasRoom() override;
-  bool Left(CallId call) const override;
-  void OnFinal(CallId call, const core::FinalAnswer& answer) override;
-  void OnEnded(CallId call, core::ReleaseCause cause) override;
+  core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override;
+  void OnDescriptorsExhausted() override { Evict(); }
+  bool CanAccept() override;
+  bool HasLeft(CallId call) const override;
+  void OnFinalAnswer(CallId call, const core::FinalAnswer& answer) override;
+  void OnCallEnded(CallId call, core::ReleaseCause cause) override;
 
  private:
   class Link;
@@ -83,7 +83,7 @@
   void Begin(Link* link);
   bool SetUp(Link* link, const Message& message);
   void Release(Link* link, const Message& message);
-  void Adopt(Link* link, const Message& message, const core::Offer& offer, const std::string& at);
+  void Adopt(Link* link, const Message& message, const core::CallRequest& offer, const std::string& at);
   // Ends the link and what depends on it.
   void Drop(Link* link, ConnectionEnd end);
   // Releases that wait for the caller of this link.
@@ -100,9 +100,9 @@
 
   CallerSettings settings_;
   core::Runtime* runtime_;
-  core::LogSink* log_;
+  core::Logger* log_;
   core::CallCore* core_;
-  Exchanges* exchanges_;
+  ExchangeConnections* exchange_connections_;
   std::unordered_map<std::string, int> classes_;
   std::unique_ptr<core::StreamListener> listener_;
   Links links_;
@@ -118,4 +118,4 @@
 
 }  // namespace croftrun::platform
 
-#endif  // CROFTRUN_PLATFORM_CALLERS_H_
+#endif  // CROFTRUN_PLATFORM_CALLER_CONNECTIONS_H_
--- a/src/platform/board.cpp
+++ b/src/platform/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/board.h"
+#include "platform/discovery_client.h"
 
 #include <algorithm>
 #include <array>
@@ -86,8 +86,8 @@
   return true;
 }
 
-Board::Board(core::Runtime* runtime, core::LogSink* log, const core::Address& address, std::uint64_t last,
-             OnNotice on_notice)
+DiscoveryClient::DiscoveryClient(core::Runtime* runtime, core::Logger* log, const core::Address& address,
+                                 std::uint64_t last, OnNotice on_notice)
     : runtime_(runtime),
       log_(log),
       address_(address),
@@ -98,13 +98,13 @@
   Ask();
 }
 
-void Board::MoveTo(const core::Address& address) {
+void DiscoveryClient::MoveTo(const core::Address& address) {
   address_ = address;
   pause_ = 0;
   Ask();
 }
 
-void Board::Ask() {
+void DiscoveryClient::Ask() {
   again_.Stop();
   ++counters_.connects;
   reader_ = std::make_unique<EventReader>();
@@ -112,7 +112,7 @@
   Watch();
 }
 
-void Board::Watch() {
+void DiscoveryClient::Watch() {
   silence_.Start(kSilence, [this] {
     ++counters_.silences;
     log_->Write(core::LogLevel::kWarning, "board-silent", 0, core::ToString(address_));
@@ -121,40 +121,40 @@
   });
 }
 
-void Board::AskAgain() {
+void DiscoveryClient::AskAgain() {
   silence_.Stop();
   // Up to half as much again: what ended for one softswitch has often ended for all of them at once.
   again_.Start(pause_ + runtime_->Random() % (pause_ / 2 + kFirstPause), [this] { Ask(); });
   pause_ = std::clamp(2 * pause_, kFirstPause, kLongestPause);
 }
 
-void Board::OnOpen() {
+void DiscoveryClient::OnOpen() {
   stream_->Write("GET /board/poll HTTP/1.1\r\nHost: " + core::ToString(address_) +
                  "\r\nAccept: text/event-stream\r\nCache-Control: no-cache\r\nLast-Event-ID: " + std::to_string(last_) +
                  "\r\n\r\n");
 }
 
-void Board::OnBytes(std::string_view bytes) {
+void DiscoveryClient::OnBytes(std::string_view bytes) {
   Watch();
   const bool goes_on =
       reader_->Feed(bytes, [this](std::string_view id, std::string_view data) { return Take(id, data); });
   if (!goes_on) Break();
 }
 
-void Board::Break() {
+void DiscoveryClient::Break() {
   ++counters_.breaks;
   stream_.reset();
   AskAgain();
 }
 
-bool Board::AsksFor(std::uint64_t number) {
+bool DiscoveryClient::AsksFor(std::uint64_t number) {
   if (asked_for_ == number) return false;  // the board has nothing better
   asked_for_ = number;
   ++counters_.gaps;
   return true;
 }
 
-void Board::OnEnd(core::StreamEnd end) {
+void DiscoveryClient::OnEnd(core::StreamEnd end) {
   log_->Write(core::LogLevel::kWarning, "board-broken", 0,
               core::ToString(address_) + ", end " + std::to_string(static_cast<int>(end)));
   Break();
@@ -163,7 +163,7 @@
 // The numbers of deltas follow one another. One that does not follow, or cannot be read, leaves a gap: what is missing
 // is asked for once more, from the last number that holds, and done without only if the board does not tell it then
 // either.
-bool Board::Take(std::string_view id, std::string_view data) {
+bool DiscoveryClient::Take(std::string_view id, std::string_view data) {
   std::uint64_t number = 0;
   std::from_chars(id.data(), id.data() + id.size(), number);
   std::string why;
--- a/src/platform/board.h
+++ b/src/platform/discovery_client.h
@@ -1,6 +1,6 @@
 // The client of the notice board: one request whose answer never ends, read as server-sent events.
-#ifndef CROFTRUN_PLATFORM_BOARD_H_
-#define CROFTRUN_PLATFORM_BOARD_H_
+#ifndef CROFTRUN_PLATFORM_DISCOVERY_CLIENT_H_
+#define CROFTRUN_PLATFORM_DISCOVERY_CLIENT_H_
 
 #include <cstdint>
 #include <functional>
@@ -34,25 +34,25 @@
   bool after_return_ = false, has_data_ = false;
 };
 
-struct BoardCounters {
+struct DiscoveryCounters {
   std::uint64_t connects = 0, breaks = 0, silences = 0, gaps = 0, events = 0, repeated = 0, unreadable = 0;
 };
 
 // Follows the board: asks again after a break or a silence, with pauses that grow while it stays away, and tells each
 // notice once, in order.
-class Board final : public core::StreamSink {
+class DiscoveryClient final : public core::StreamHandler {
  public:
   using OnNotice = std::function<void(const Notice&)>;
   // `last`: number of the last event that is known already.
-  Board(core::Runtime* runtime, core::LogSink* log, const core::Address& address, std::uint64_t last,
-        OnNotice on_notice);
+  DiscoveryClient(core::Runtime* runtime, core::Logger* log, const core::Address& address, std::uint64_t last,
+                  OnNotice on_notice);
   // From now on at this address; the numbers carry on.
   void MoveTo(const core::Address& address);
   // `last` was heard by another way.
   void Known(std::uint64_t last) { last_ = std::max(last_, last); }
   std::uint64_t last() const { return last_; }
   const core::Address& address() const { return address_; }
-  const BoardCounters& counters() const { return counters_; }
+  const DiscoveryCounters& counters() const { return counters_; }
 
   void OnOpen() override;
   void OnBytes(std::string_view bytes) override;
@@ -70,7 +70,7 @@
   bool Take(std::string_view id, std::string_view data);
 
   core::Runtime* runtime_;
-  core::LogSink* log_;
+  core::Logger* log_;
   core::Address address_;
   std::uint64_t last_;
   std::uint64_t asked_for_ = 0;  // the event that was taken for missing, asked for once
@@ -79,9 +79,9 @@
   std::unique_ptr<EventReader> reader_;
   core::Timer again_, silence_;
   TimeUs pause_ = 0;
-  BoardCounters counters_;
+  DiscoveryCounters counters_;
 };
 
 }  // namespace croftrun::platform
 
-#endif  // CROFTRUN_PLATFORM_BOARD_H_
+#endif  // CROFTRUN_PLATFORM_DISCOVERY_CLIENT_H_
--- a/src/platform/exchanges.cpp
+++ b/src/platform/exchange_connections.cpp
@@ -1,4 +1,4 @@
-#include "platform/exchanges.h"
+#include "platform/exchange_connections.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-struct Exchanges::Exchange {
+struct ExchangeConnections::Exchange {
   explicit Exchange(core::Runtime* runtime) : again(runtime), detector({}), check_announced(runtime) {}
   bool InDoubt() const { return detector.doubt_since() != 0; }
   ExchangeId id = 0;
@@ -60,9 +60,9 @@
   core::Timer check_announced;
 };
 
-class Exchanges::Link final : public core::StreamSink {
+class ExchangeConnections::Link final : public core::StreamHandler {
  public:
-  Link(Exchanges* owner, Exchange* e) : exchange(e), owner_(owner) {}
+  Link(ExchangeConnections* owner, Exchange* e) : exchange(e), owner_(owner) {}
 
   void OnOpen() override {
     open = true;
@@ -109,10 +109,11 @@
   LineReader reader;
 
  private:
-  Exchanges* owner_;
+  ExchangeConnections* owner_;
 };
 
-Exchanges::Exchanges(const ExchangeSettings& settings, core::Runtime* runtime, core::LogSink* log, core::CallCore* core)
+ExchangeConnections::ExchangeConnections(const ExchangeSettings& settings, core::Runtime* runtime, core::Logger* log,
+                                         core::CallCore* core)
     : settings_(settings),
       runtime_(runtime),
       log_(log),
@@ -125,20 +126,20 @@
   WatchLiveness();
 }
 
-Exchanges::~Exchanges() = default;
+ExchangeConnections::~ExchangeConnections() = default;
 
-std::string_view Exchanges::NameOf(LinkEnd end) {
+std::string_view ExchangeConnections::NameOf(LinkEnd end) {
   constexpr std::string_view kNames[] = {"closed", "reset", "refused", "not up in time", "spoilt", "closed here"};
   return kNames[static_cast<std::size_t>(end)];
 }
 
-std::size_t Exchanges::unreachable() const {
+std::size_t ExchangeConnections::unreachable() const {
   return static_cast<std::size_t>(std::count_if(exchanges_.begin(), exchanges_.end(), [](const auto& item) {
     return !item.second->retired && OpenOne(*item.second) == nullptr;
   }));
 }
 
-std::size_t Exchanges::standing_unreachable() const {
+std::size_t ExchangeConnections::standing_unreachable() const {
   std::size_t calls = 0;
   for (const auto& [id, exchange] : exchanges_) {
     if (OpenOne(*exchange) == nullptr) calls += exchange->standing.size();
@@ -146,7 +147,7 @@
   return calls;
 }
 
-TimeUs Exchanges::longest_silence() const {
+TimeUs ExchangeConnections::longest_silence() const {
   TimeUs longest = 0;
   for (const auto& [id, exchange] : exchanges_) {
     if (!exchange->standing.empty()) longest = std::max(longest, runtime_->Now() - exchange->heard_at);
@@ -154,34 +155,35 @@
   return longest;
 }
 
-void Exchanges::LogConnection(core::LogLevel level, std::string_view event, const Link& link, std::string_view detail) {
-  if (!log_->Wants(level)) return;
+void ExchangeConnections::LogConnection(core::LogLevel level, std::string_view event, const Link& link,
+                                        std::string_view detail) {
+  if (!log_->IsEnabled(level)) return;
   const Target& target = link.exchange->target;
   std::string text = target.uid + " " + core::ToString(target.address) + " connection " + std::to_string(link.number);
   if (!detail.empty()) text.append(", ").append(detail);
   log_->Write(level, event, 0, text);
 }
 
-void Exchanges::LogCall(std::string_view event, const Leg& leg, std::string_view detail) {
-  if (!log_->Wants(core::LogLevel::kDebug)) return;
+void ExchangeConnections::LogCall(std::string_view event, const Leg& leg, std::string_view detail) {
+  if (!log_->IsEnabled(core::LogLevel::kDebug)) return;
   std::string text = leg.id + " attempt " + std::to_string(leg.attempt) + " at " + leg.at->target.uid;
   if (leg.link != nullptr) text += " connection " + std::to_string(leg.link->number);
   if (!detail.empty()) text.append(", ").append(detail);
   log_->Write(core::LogLevel::kDebug, event, leg.call, text);
 }
 
-ExchangeId Exchanges::Find(const std::string& uid) const {
+ExchangeId ExchangeConnections::Find(const std::string& uid) const {
   const auto found = by_uid_.find(uid);
   if (found == by_uid_.end()) return 0;
   return exchanges_.at(found->second)->retired ? 0 : found->second;
 }
 
-TimeUs Exchanges::TimeOf(std::int64_t unix_ms) const {
+TimeUs ExchangeConnections::TimeOf(std::int64_t unix_ms) const {
   if (unix_ms == 0) return 0;
   return static_cast<TimeUs>(std::max<std::int64_t>(1, unix_ms * 1000 - settings_.unix_offset_us));
 }
 
-DirectoryEntry Exchanges::EntryOf(const Exchange& exchange) const {
+DirectoryEntry ExchangeConnections::EntryOf(const Exchange& exchange) const {
   const Target& target = exchange.target;
   return {.exchange = exchange.id,
           .zone = IndexOf(settings_.zones, target.zone),
@@ -192,7 +194,7 @@
           .since_us = exchange.since_us};
 }
 
-bool Exchanges::Superseded(ExchangeId before, const Target& target, TimeUs since) const {
+bool ExchangeConnections::Superseded(ExchangeId before, const Target& target, TimeUs since) const {
   if (target.status == ExchangeStatus::kGone) return false;
   const auto holder = by_address_.find(target.address);
   if (holder == by_address_.end() || holder->second <= before) return false;
@@ -202,7 +204,7 @@
   return newer != exchanges_.end() && !newer->second->retired && since <= newer->second->since_us;
 }
 
-void Exchanges::OnNotice(const Notice& notice) {
+void ExchangeConnections::OnNotice(const Notice& notice) {
   DirectoryUpdate update;
   update.kind = notice.whole ? DirectoryKind::kFull : DirectoryKind::kDelta;
   update.version = static_cast<std::uint32_t>(notice.number);
@@ -279,7 +281,7 @@
   });
 }
 
-void Exchanges::Retire(Exchange* exchange) {
+void ExchangeConnections::Retire(Exchange* exchange) {
   exchange->retired = true;
   exchange->again.Stop();
   exchange->waiting.clear();
@@ -295,7 +297,7 @@
   for (Link* const link : idle) EndLink(link, LinkEnd::kClosedHere);
 }
 
-void Exchanges::CutAll(Exchange* exchange, TimeUs before, std::string_view why, Remains remains) {
+void ExchangeConnections::CutAll(Exchange* exchange, TimeUs before, std::string_view why, Remains remains) {
   std::vector<std::string> ids;
   for (const std::string& id : exchange->standing) {
     if (legs_.at(id).stood_at < before) ids.push_back(id);
@@ -303,7 +305,7 @@
   Cut(exchange, std::move(ids), why, remains);
 }
 
-void Exchanges::Cut(Exchange* exchange, std::vector<std::string> ids, std::string_view why, Remains remains) {
+void ExchangeConnections::Cut(Exchange* exchange, std::vector<std::string> ids, std::string_view why, Remains remains) {
   std::sort(ids.begin(), ids.end());
   if (!ids.empty()) {
     ++counters_.lost_exchanges;
@@ -322,12 +324,12 @@
   }
 }
 
-void Exchanges::SettleBy(TimeUs at) {
+void ExchangeConnections::SettleBy(TimeUs at) {
   settle_by_ = at;
   for (const auto& [id, exchange] : exchanges_) exchange->detector.SettleBy(at);
 }
 
-void Exchanges::WatchLiveness() {
+void ExchangeConnections::WatchLiveness() {
   liveness_.Start(policy::kLivenessStep, [this] {
     for (const auto& [id, exchange] : exchanges_) {
       if (exchange->standing.empty() || exchange->retired) continue;
@@ -347,7 +349,7 @@
   });
 }
 
-void Exchanges::Act(Exchange* exchange, policy::LivenessAction action) {
+void ExchangeConnections::Act(Exchange* exchange, policy::LivenessAction action) {
   const TimeUs now = runtime_->Now();
   switch (action) {
     case policy::LivenessAction::kNone:
@@ -371,7 +373,7 @@
   }
 }
 
-Exchanges::Link* Exchanges::LeastRecentlyTested(const Exchange& exchange) {
+ExchangeConnections::Link* ExchangeConnections::LeastRecentlyTested(const Exchange& exchange) {
   Link* best = nullptr;
   for (const auto& link : exchange.links) {
     if (!link->open || !exchange.detector.IsOfHolder(link->opened_at)) continue;
@@ -380,14 +382,14 @@
   return best;
 }
 
-void Exchanges::ProbeForLife(Link* link) {
+void ExchangeConnections::ProbeForLife(Link* link) {
   if (link == nullptr) return;
   ++counters_.liveness_probes;
   link->tested_at = runtime_->Now();
   SendProbe(link);
 }
 
-policy::CircuitUse Exchanges::CircuitUseOf(const Exchange& exchange, TimeUs in_question) const {
+policy::CircuitUse ExchangeConnections::CircuitUseOf(const Exchange& exchange, TimeUs in_question) const {
   policy::CircuitUse use{.used = *exchange.circuits_used, .standing = exchange.standing.size()};
   const TimeUs now = runtime_->Now();
   for (const std::string& id : exchange.standing) {
@@ -403,7 +405,7 @@
   return use;
 }
 
-void Exchanges::CheckCircuits(const Link& link) {
+void ExchangeConnections::CheckCircuits(const Link& link) {
   Exchange* const exchange = link.exchange;
   if (!exchange->circuits_used || exchange->standing.empty()) return;
   policy::FailureDetector& detector = exchange->detector;
@@ -416,7 +418,7 @@
   LogDoubt(*exchange, was_in_doubt);
 }
 
-void Exchanges::GiveUpReplaced(Exchange* exchange, std::string_view why, Remains remains) {
+void ExchangeConnections::GiveUpReplaced(Exchange* exchange, std::string_view why, Remains remains) {
   ++counters_.given_up_replaced;
   std::vector<std::string> ids;
   for (const std::string& id : exchange->standing) {
@@ -426,7 +428,7 @@
   exchange->detector.OnGivenUp();
 }
 
-void Exchanges::CheckAnnounced(Exchange* exchange) {
+void ExchangeConnections::CheckAnnounced(Exchange* exchange) {
   if (exchange->announced == 0 || !exchange->circuits_used) return;
   if (!policy::DeniesMost({.used = *exchange->circuits_used,
                            .standing = exchange->standing.size(),
@@ -440,14 +442,14 @@
       Remains::kNothing);
 }
 
-void Exchanges::LogDoubt(const Exchange& exchange, bool was_in_doubt) {
+void ExchangeConnections::LogDoubt(const Exchange& exchange, bool was_in_doubt) {
   if (exchange.InDoubt() == was_in_doubt) return;
   ++(was_in_doubt ? counters_.doubts_cleared : counters_.doubts);
   log_->Write(core::LogLevel::kInfo, was_in_doubt ? "exchange-confirmed" : "exchange-doubtful", 0,
               exchange.target.uid + ", calls standing there " + std::to_string(exchange.standing.size()));
 }
 
-bool Exchanges::MakeRoom(const Exchange* wanted) {
+bool ExchangeConnections::MakeRoom(const Exchange* wanted) {
   Link* spare = nullptr;
   for (const auto& [id, exchange] : exchanges_) {
     if (exchange.get() == wanted || exchange->links.size() < 2 || exchange->InDoubt()) continue;
@@ -461,7 +463,7 @@
   return true;
 }
 
-void Exchanges::CloseSpare(Exchange* exchange) {
+void ExchangeConnections::CloseSpare(Exchange* exchange) {
   // In doubt the old ones are what can end it.
   const policy::FailureDetector& detector = exchange->detector;
   if (exchange->InDoubt()) return;
@@ -479,7 +481,7 @@
     EndLink(*stale, LinkEnd::kClosedHere);
 }
 
-Exchanges::Link* Exchanges::OpenLink(Exchange* exchange, Purpose purpose) {
+ExchangeConnections::Link* ExchangeConnections::OpenLink(Exchange* exchange, Purpose purpose) {
   const bool for_life = purpose == Purpose::kSignOfLife;
   const std::size_t most = settings_.most_links + (for_life ? kLivenessReserve : 0);
   if (link_count_ >= most && (purpose == Purpose::kSetUp || !MakeRoom(exchange))) {
@@ -499,7 +501,7 @@
   return link;
 }
 
-void Exchanges::KeepConnected(Exchange* exchange) {
+void ExchangeConnections::KeepConnected(Exchange* exchange) {
   if (exchange->retired || !exchange->links.empty() || exchange->again.Running()) return;
   const TimeUs pause = exchange->pause;
   exchange->pause = std::clamp(2 * pause, kFirstPause, kLongestPause);
@@ -510,7 +512,7 @@
   });
 }
 
-Exchanges::Link* Exchanges::LinkFor(Exchange* exchange) {
+ExchangeConnections::Link* ExchangeConnections::LinkFor(Exchange* exchange) {
   Link* best = nullptr;
   // One on which a set-up was lost may be one behind which nobody listens any more: the others first. Not a fresh one
   // for it: where the whole way is cut that does not come up, and the module takes the exchange for one that died. Of
@@ -536,14 +538,14 @@
   return best;
 }
 
-bool Exchanges::Lives(const Exchange& exchange) const {
+bool ExchangeConnections::Lives(const Exchange& exchange) const {
   const TimeUs now = runtime_->Now();
   return std::any_of(exchange.links.begin(), exchange.links.end(), [now](const auto& link) {
-    return link->open && !link->stream->FarEndGone() && now < std::max(link->heard_at, link->opened_at) + kSpokeLately;
+    return link->open && !link->stream->PeerClosed() && now < std::max(link->heard_at, link->opened_at) + kSpokeLately;
   });
 }
 
-void Exchanges::SetUp(const core::TrunkSetUp& set_up) {
+void ExchangeConnections::SetUp(const core::TrunkSetUp& set_up) {
   const CallId call = set_up.set.call;
   const auto found = exchanges_.find(set_up.to);
   Link* const link = found == exchanges_.end() ? nullptr : LinkFor(found->second.get());
@@ -559,7 +561,7 @@
   const std::string line = WriteMessage(message);
   if (line.empty()) {
     return core_->OnTrunkReleased(call, set_up.attempt,
-                                  InfoOf({Outcome::kError, Cause::kNone}, core::ReleaseCause::kTemporaryFailure));
+                                  InfoOf({Outcome::kError, RejectCause::kNone}, core::ReleaseCause::kTemporaryFailure));
   }
   ++counters_.set_ups;
   const Leg& leg = legs_[id] = {call, set_up.attempt, found->second.get(), link, false, 0, id};
@@ -569,7 +571,7 @@
   link->stream->Write(line);
 }
 
-void Exchanges::Release(const core::CircuitSet& set, const core::ReleaseInfo&) {
+void ExchangeConnections::Release(const core::CircuitSet& set, const core::ReleaseInfo&) {
   const auto named = ids_.find(set.call);
   if (named == ids_.end()) return;
   const Leg leg = Remove(legs_.find(named->second));
@@ -587,7 +589,7 @@
   SendRelease(leg.at, leg.link, leg.id);
 }
 
-void Exchanges::SendRelease(Exchange* exchange, Link* link, const std::string& id) {
+void ExchangeConnections::SendRelease(Exchange* exchange, Link* link, const std::string& id) {
   if (link == nullptr) link = OpenOne(*exchange);
   if (link == nullptr) {
     if (exchange->retired) return;
@@ -597,7 +599,7 @@
   link->stream->Write(WriteMessage({.type = MessageType::kRelease, .id = id, .cause = kNormal}));
 }
 
-Exchanges::Leg Exchanges::Remove(std::unordered_map<std::string, Leg>::iterator at) {
+ExchangeConnections::Leg ExchangeConnections::Remove(std::unordered_map<std::string, Leg>::iterator at) {
   Leg leg = std::move(at->second);
   legs_.erase(at);
   ids_.erase(leg.call);
@@ -610,20 +612,20 @@
   return leg;
 }
 
-Exchanges::Link* Exchanges::OpenOne(const Exchange& exchange) {
+ExchangeConnections::Link* ExchangeConnections::OpenOne(const Exchange& exchange) {
   const auto newest =
       std::find_if(exchange.links.rbegin(), exchange.links.rend(), [](const auto& x) { return x->open; });
   return newest == exchange.links.rend() ? nullptr : newest->get();
 }
 
-void Exchanges::ProbeExchange(ExchangeId exchange) {
+void ExchangeConnections::ProbeExchange(ExchangeId exchange) {
   const auto found = exchanges_.find(exchange);
   Link* const link = found == exchanges_.end() ? nullptr : OpenOne(*found->second);
   if (link == nullptr) return core_->OnProbeEnded(exchange, Outcome::kConnectFailed, 1, {});
   SendProbe(link);
 }
 
-void Exchanges::SendProbe(Link* link) {
+void ExchangeConnections::SendProbe(Link* link) {
   char digits[17];
   std::snprintf(digits, sizeof(digits), "%016llx", static_cast<unsigned long long>(runtime_->Random()));
   if (probes_.size() > 256) probes_.clear();
@@ -631,7 +633,7 @@
   link->stream->Write(WriteMessage({.type = MessageType::kTest, .id = digits, .cause = 0}));
 }
 
-void Exchanges::Adopt(CallId call, const std::string& id, ExchangeId at) {
+void ExchangeConnections::Adopt(CallId call, const std::string& id, ExchangeId at) {
   const auto found = exchanges_.find(at);
   if (found == exchanges_.end()) return;
   // What a former set-up of this id left behind is over: its release must not reach the call that is taken over now.
@@ -661,14 +663,14 @@
   });
 }
 
-void Exchanges::NoteStanding(Exchange* exchange, const std::string& id) {
+void ExchangeConnections::NoteStanding(Exchange* exchange, const std::string& id) {
   if (exchange->standing.empty()) exchange->detector.OnFirstCall(runtime_->Now());
   exchange->standing.insert(id);
 }
 
 // ---- what exchanges send ----
 
-bool Exchanges::Take(Link* link, std::string_view line) {
+bool ExchangeConnections::Take(Link* link, std::string_view line) {
   const auto message = ParseMessage(line);
   if (!message) return false;
   switch (message->type) {
@@ -704,7 +706,7 @@
   return true;
 }
 
-void Exchanges::TakeAnswer(Link* link, const Message& message) {
+void ExchangeConnections::TakeAnswer(Link* link, const Message& message) {
   const auto found = legs_.find(message.id);
   if (found == legs_.end()) {
     if (!given_up_.Has(message.id)) {
@@ -732,7 +734,7 @@
   core_->OnTrunkAnswered(call, attempt);
 }
 
-void Exchanges::TakeRelease(Link* link, const Message& message) {
+void ExchangeConnections::TakeRelease(Link* link, const Message& message) {
   const auto found = legs_.find(message.id);
   if (found == legs_.end() || found->second.at != link->exchange ||
       (!found->second.stands && found->second.link != link)) {
@@ -758,11 +760,11 @@
                                   {normal ? core::ReleaseCause::kNormal : core::ReleaseCause::kTemporaryFailure});
   }
   const std::string* const note = message.Field("note");
-  const core::Ended meaning = MeaningOf(cause, note != nullptr ? *note : std::string());
+  const core::AttemptResult meaning = MeaningOf(cause, note != nullptr ? *note : std::string());
   ++(meaning.outcome == Outcome::kReset   ? counters_.resets
      : meaning.outcome == Outcome::kError ? counters_.errors
                                           : counters_.refusals);
-  const bool no_circuit = cause == kNoCircuit && meaning.cause != Cause::kProcessorFull;
+  const bool no_circuit = cause == kNoCircuit && meaning.cause != RejectCause::kProcessorFull;
   core::ReleaseInfo info =
       InfoOf(meaning, no_circuit ? core::ReleaseCause::kNoCircuit : core::ReleaseCause::kCongestion);
   info.load = report_reader_.Figures(message);
@@ -770,7 +772,7 @@
 }
 
 // An exchange tells the state of its group on any of its connections, at times on several.
-void Exchanges::TakeGauge(Link* link, const Message& message) {
+void ExchangeConnections::TakeGauge(Link* link, const Message& message) {
   ++counters_.gauges;
   const std::string* const load = message.Field("load");
   if (load == nullptr) return;
@@ -782,10 +784,10 @@
   ++counters_.gauges_heard;
   CheckCircuits(*link);
   CheckAnnounced(link->exchange);
-  if (!figures.empty()) core_->OnGauge(link->exchange->id, figures);
+  if (!figures.empty()) core_->OnGroupReport(link->exchange->id, figures);
 }
 
-void Exchanges::TellDetector(const Link& link, LinkEnd end) {
+void ExchangeConnections::TellDetector(const Link& link, LinkEnd end) {
   Exchange* const exchange = link.exchange;
   const TimeUs now = runtime_->Now();
   const bool was_in_doubt = exchange->InDoubt();
@@ -803,7 +805,7 @@
   LogDoubt(*exchange, was_in_doubt);
 }
 
-void Exchanges::EndLink(Link* link, LinkEnd end) {
+void ExchangeConnections::EndLink(Link* link, LinkEnd end) {
   Exchange* const exchange = link->exchange;
   ++(end == LinkEnd::kRefused       ? counters_.refused
      : end == LinkEnd::kNotUpInTime ? counters_.timed_out
--- a/src/platform/exchanges.h
+++ b/src/platform/exchange_connections.h
@@ -3,8 +3,8 @@
 // A set-up has a connection of its own while there is room, as what shares a connection is lost with it; after the
 // answer the connection serves the next set-up. Every exchange of the list is kept connected, so that the state of its
 // group and the end of its calls can be heard.
-#ifndef CROFTRUN_PLATFORM_EXCHANGES_H_
-#define CROFTRUN_PLATFORM_EXCHANGES_H_
+#ifndef CROFTRUN_PLATFORM_EXCHANGE_CONNECTIONS_H_
+#define CROFTRUN_PLATFORM_EXCHANGE_CONNECTIONS_H_
 
 #include <cstdint>
 #include <list>
@@ -52,10 +52,11 @@
                 unknown_ends = 0;
 };
 
-class Exchanges final : public core::TrunkDriver {
+class ExchangeConnections final : public core::TrunkDriver {
  public:
-  Exchanges(const ExchangeSettings& settings, core::Runtime* runtime, core::LogSink* log, core::CallCore* core);
-  ~Exchanges() override;
+  ExchangeConnections(const ExchangeSettings& settings, core::Runtime* runtime, core::Logger* log,
+                      core::CallCore* core);
+  ~ExchangeConnections() override;
 
   // What the notice board told: the list and the core's directory follow.
   void OnNotice(const Notice& notice);
@@ -82,7 +83,7 @@
   // The platform's media descriptions travel with set-up and answer.
   void Answer(const core::CircuitSet&, std::string_view) override {}
   void Connect(const core::CircuitSet&, std::string_view) override {}
-  void Probe(int) override {}
+  void ProbeGroup(int) override {}
 
   // A call that the core adopted: its end comes from this exchange.
   void Adopt(CallId call, const std::string& id, ExchangeId at);
@@ -173,7 +174,7 @@
 
   ExchangeSettings settings_;
   core::Runtime* runtime_;
-  core::LogSink* log_;
+  core::Logger* log_;
   core::CallCore* core_;
   GroupReportReader report_reader_;
   std::map<ExchangeId, std::unique_ptr<Exchange>> exchanges_;
@@ -195,4 +196,4 @@
 
 }  // namespace croftrun::platform
 
-#endif  // CROFTRUN_PLATFORM_EXCHANGES_H_
+#endif  // CROFTRUN_PLATFORM_EXCHANGE_CONNECTIONS_H_
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -33,11 +33,11 @@
   core::CoreSettings settings;
   settings.module = config.module;
   settings.seed = config.seed;
-  settings.network_counts = true;
+  settings.network_manages_circuits = true;
   settings.answer_margin_us = 0;  // the caller's time is all the module's
-  settings.net_after_us = config.grace_us;
-  settings.most_session = kMostLine;
-  settings.most_calls = std::min<std::size_t>(config.module.most_held, config.memory_mb * kCallsPerMegabyte);
+  settings.forgotten_call_timeout_us = config.grace_us;
+  settings.max_session_octets = kMostLine;
+  settings.max_calls = std::min<std::size_t>(config.module.max_held_calls, config.memory_mb * kCallsPerMegabyte);
   return settings;
 }
 
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-Node::Node(const NodeConfig& config, core::Runtime* runtime, core::LogSink* log)
+Node::Node(const NodeConfig& config, core::Runtime* runtime, core::Logger* log)
     : runtime_(runtime), log_(log), figures_(runtime), end_(runtime), bind_(runtime), settings_(config.settings) {
   core_ = std::make_unique<core::CallCore>(CoreSettingsOf(config), runtime, log);
   for (const CallClass& call_class : config.module.classes) {
@@ -65,30 +65,31 @@
   to_exchanges.kinds = config.kinds;
   to_exchanges.figures = config.figures;
   // Read once: the same Unix time must mean the same time of the module however often it is told.
-  to_exchanges.unix_offset_us = runtime->WallUs() - static_cast<std::int64_t>(runtime->Now());
+  to_exchanges.unix_offset_us = runtime->WallClockUs() - static_cast<std::int64_t>(runtime->Now());
   to_exchanges.may_probe = config.module.may_probe;
-  to_exchanges.own_circuits = config.module.shape == Shape::kMeshed;
-  exchanges_ = std::make_unique<Exchanges>(to_exchanges, runtime, log, core_.get());
-  core_->SetTrunks(exchanges_.get());
+  to_exchanges.own_circuits = config.module.topology == Topology::kMeshed;
+  exchange_connections_ = std::make_unique<ExchangeConnections>(to_exchanges, runtime, log, core_.get());
+  core_->SetTrunks(exchange_connections_.get());
   std::uint64_t last = config.known_number;
   for (const Notice& notice : config.known) {
-    exchanges_->OnNotice(notice);
+    exchange_connections_->OnNotice(notice);
     last = std::max(last, notice.number);
   }
   CallerSettings to_callers;
   to_callers.listen = config.listen;
   to_callers.most_links = room - to_exchanges.most_links;
   to_callers.classes = to_exchanges.classes;
-  callers_ = std::make_unique<Callers>(to_callers, runtime, log, core_.get(), exchanges_.get());
-  board_ = std::make_unique<Board>(runtime, log, config.board, last,
-                                   [this](const Notice& notice) { exchanges_->OnNotice(notice); });
+  caller_connections_ =
+      std::make_unique<CallerConnections>(to_callers, runtime, log, core_.get(), exchange_connections_.get());
+  discovery_client_ = std::make_unique<DiscoveryClient>(
+      runtime, log, config.board, last, [this](const Notice& notice) { exchange_connections_->OnNotice(notice); });
   Listen(kMostBinds);
   TellFigures();
 }
 
 void Node::Listen(int tries) {
   try {
-    callers_->Listen();
+    caller_connections_->Listen();
   } catch (const std::system_error& error) {
     if (error.code() != std::errc::address_in_use || tries == 0) throw;
     if (tries == kMostBinds) log_->Write(core::LogLevel::kWarning, "address-in-use", 0, error.what());
@@ -98,16 +99,16 @@
 
 void Node::Reconfigure(const NodeConfig& config) {
   for (const Notice& notice : config.known) {
-    if (notice.number <= board_->last()) continue;
-    exchanges_->OnNotice(notice);
-    board_->Known(notice.number);
+    if (notice.number <= discovery_client_->last()) continue;
+    exchange_connections_->OnNotice(notice);
+    discovery_client_->Known(notice.number);
   }
   log_->Write(core::LogLevel::kInfo, "reconfigured", 0,
-              "board " + core::ToString(board_->address()) + " to " + core::ToString(config.board));
+              "board " + core::ToString(discovery_client_->address()) + " to " + core::ToString(config.board));
   if (config.settings != settings_)
     log_->Write(core::LogLevel::kWarning, "settings-kept", 0,
                 "changed settings and limits are followed at the next start");
-  board_->MoveTo(config.board);
+  discovery_client_->MoveTo(config.board);
 }
 
 void Node::Stop(std::function<void()> done) {
@@ -115,8 +116,8 @@
   stopping_since_ = runtime_->Now();
   const TimeUs kill_at = stopping_since_ + std::min(longest_deadline_, kLongestKillWait) + kKillMargin;
   last_moment_ = kill_at - kClosedBeforeKill;
-  core_->FinishBy(kill_at - kAnswersBeforeKill);
-  exchanges_->SettleBy(kill_at - kSettledBeforeKill);
+  core_->SetShutdownDeadline(kill_at - kAnswersBeforeKill);
+  exchange_connections_->SettleBy(kill_at - kSettledBeforeKill);
   log_->Write(core::LogLevel::kInfo, "stopping", 0, Metrics());
   WaitForEnd();
 }
@@ -127,26 +128,26 @@
 void Node::WaitForEnd() {
   const TimeUs now = runtime_->Now(), closing = std::min(stopping_since_ + kStopTakes, last_moment_);
   if (now >= closing) {
-    core_->StopTaking();
-    if (callers_->unanswered() > 0 || callers_->links() > 0) last_open_ = now;
-    callers_->CloseIdle(now >= last_moment_);
-    const TimeUs quiet_since = std::max({closing, last_open_, callers_->last_link()});
+    core_->StopAcceptingCalls();
+    if (caller_connections_->unanswered() > 0 || caller_connections_->links() > 0) last_open_ = now;
+    caller_connections_->CloseIdle(now >= last_moment_);
+    const TimeUs quiet_since = std::max({closing, last_open_, caller_connections_->last_link()});
     const bool quiet = now >= quiet_since + kStopCrossing;
-    const bool nothing_stands = callers_->open_calls() == 0 || now >= last_moment_;
+    const bool nothing_stands = caller_connections_->open_calls() == 0 || now >= last_moment_;
     const bool late = now >= last_moment_ + kStopCrossing;
-    if (callers_->unanswered() == 0 && ((quiet && nothing_stands) || late)) return done_();
+    if (caller_connections_->unanswered() == 0 && ((quiet && nothing_stands) || late)) return done_();
   }
   end_.Start(kStopCheck, [this] { WaitForEnd(); });
 }
 
 std::string Node::Metrics() const {
-  const auto& c = callers_->counters();
-  const auto& e = exchanges_->counters();
+  const auto& c = caller_connections_->counters();
+  const auto& e = exchange_connections_->counters();
   const auto& k = core_->counters();
-  const auto& b = board_->counters();
+  const auto& b = discovery_client_->counters();
   const nlohmann::json figures = {{"callers",
                                    {{"links", c.links},
-                                    {"open_links", callers_->links()},
+                                    {"open_links", caller_connections_->links()},
                                     {"links_waited", c.links_waited},
                                     {"links_evicted", c.links_evicted},
                                     {"links_silent", c.links_silent},
@@ -165,13 +166,13 @@
                                     {"released_by_caller", c.released_by_caller},
                                     {"ends_without_link", c.ends_without_link},
                                     {"ends_dropped", c.ends_dropped},
-                                    {"ends_waiting", callers_->waiting_ends()},
+                                    {"ends_waiting", caller_connections_->waiting_ends()},
                                     {"ends_told_again", c.ends_told_again},
                                     {"acknowledged", c.acknowledged},
                                     {"end_waited_longest_ms", c.end_waited_longest / 1000},
                                     {"tests", c.tests},
-                                    {"held", callers_->open_calls()},
-                                    {"unanswered", callers_->unanswered()}}},
+                                    {"held", caller_connections_->open_calls()},
+                                    {"unanswered", caller_connections_->unanswered()}}},
                                   {"exchanges",
                                    {{"set_ups", e.set_ups},
                                     {"shared", e.shared},
@@ -196,9 +197,9 @@
                                     {"unknown_answers", e.unknown_answers},
                                     {"late_answers", e.late_answers},
                                     {"unknown_ends", e.unknown_ends},
-                                    {"open_links", exchanges_->links()},
-                                    {"legs", exchanges_->legs()},
-                                    {"listed", exchanges_->listed()},
+                                    {"open_links", exchange_connections_->links()},
+                                    {"legs", exchange_connections_->legs()},
+                                    {"listed", exchange_connections_->listed()},
                                     {"lost_exchanges", e.lost_exchanges},
                                     {"liveness_connects", e.liveness_connects},
                                     {"liveness_probes", e.liveness_probes},
@@ -208,9 +209,9 @@
                                     {"given_up_replaced", e.given_up_replaced},
                                     {"no_room", e.no_room},
                                     {"early_ends", e.early_ends},
-                                    {"unreachable", exchanges_->unreachable()},
-                                    {"standing_unreachable", exchanges_->standing_unreachable()},
-                                    {"longest_silence_ms", exchanges_->longest_silence() / 1000}}},
+                                    {"unreachable", exchange_connections_->unreachable()},
+                                    {"standing_unreachable", exchange_connections_->standing_unreachable()},
+                                    {"longest_silence_ms", exchange_connections_->longest_silence() / 1000}}},
                                   {"core",
                                    {{"offered", k.offered},
                                     {"attempts", k.attempts},
@@ -229,7 +230,7 @@
                                     {"events", b.events},
                                     {"repeated", b.repeated},
                                     {"unreadable", b.unreadable},
-                                    {"last", board_->last()}}}};
+                                    {"last", discovery_client_->last()}}}};
   return figures.dump();
 }
 
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "core/call_core.h"
-#include "platform/board.h"
-#include "platform/callers.h"
-#include "platform/exchanges.h"
+#include "platform/caller_connections.h"
+#include "platform/discovery_client.h"
+#include "platform/exchange_connections.h"
 #include "platform/node_config.h"
 
 namespace croftrun::platform {
@@ -17,7 +17,7 @@
  public:
   // Applies what is known and listens. An address that is still bound (by a process that is just ending) is tried again
   // for a while, from the loop; throws std::system_error where it cannot be had.
-  Node(const NodeConfig& config, core::Runtime* runtime, core::LogSink* log);
+  Node(const NodeConfig& config, core::Runtime* runtime, core::Logger* log);
 
   // A configuration that replaces the one in force: where the board is, and what it has told meanwhile.
   void Reconfigure(const NodeConfig& config);
@@ -26,8 +26,8 @@
   void Stop(std::function<void()> done);
 
   core::CallCore& core() { return *core_; }
-  Callers& callers() { return *callers_; }
-  Exchanges& exchanges() { return *exchanges_; }
+  CallerConnections& callers() { return *caller_connections_; }
+  ExchangeConnections& exchanges() { return *exchange_connections_; }
   // All counters, as one line of JSON.
   std::string Metrics() const;
 
@@ -37,11 +37,11 @@
   void WaitForEnd();
 
   core::Runtime* runtime_;
-  core::LogSink* log_;
+  core::Logger* log_;
   std::unique_ptr<core::CallCore> core_;
-  std::unique_ptr<Exchanges> exchanges_;
-  std::unique_ptr<Callers> callers_;
-  std::unique_ptr<Board> board_;
+  std::unique_ptr<ExchangeConnections> exchange_connections_;
+  std::unique_ptr<CallerConnections> caller_connections_;
+  std::unique_ptr<DiscoveryClient> discovery_client_;
   core::Timer figures_, end_, bind_;
   TimeUs longest_deadline_ = 0;  // of all classes
   TimeUs stopping_since_ = 0, last_open_ = 0;
--- a/src/platform/release_meaning.cpp
+++ b/src/platform/release_meaning.cpp
@@ -4,28 +4,28 @@
 
 namespace croftrun::platform {
 
-core::Ended MeaningOf(int cause, const std::string& note) {
+core::AttemptResult MeaningOf(int cause, const std::string& note) {
   switch (cause) {
     case kNoCircuit:
-      if (note == "via_said_no") return {Outcome::kFull, Cause::kTurnedBack};
-      if (note == "far_cpu_full") return {Outcome::kFull, Cause::kTurnedBackFull};
-      if (note == "cpu_full") return {Outcome::kFull, Cause::kProcessorFull};
-      return {Outcome::kFull, Cause::kNoCircuit};
+      if (note == "via_said_no") return {Outcome::kRejected, RejectCause::kCrankback};
+      if (note == "far_cpu_full") return {Outcome::kRejected, RejectCause::kCrankbackProcessorFull};
+      if (note == "cpu_full") return {Outcome::kRejected, RejectCause::kProcessorFull};
+      return {Outcome::kRejected, RejectCause::kNoCircuit};
     case kUserBusy:
     case kNotInService:
-      return {Outcome::kError, note == "number_busy" ? Cause::kLinesBusy : Cause::kNone};
+      return {Outcome::kError, note == "number_busy" ? RejectCause::kLinesBusy : RejectCause::kNone};
     case kTimerExpiry:
-      if (note == "cpu_full") return {Outcome::kMoot, Cause::kProcessorFull};
-      return {Outcome::kMoot, note == "all_trunks_busy" ? Cause::kNoCircuit : Cause::kNone};
+      if (note == "cpu_full") return {Outcome::kNotSent, RejectCause::kProcessorFull};
+      return {Outcome::kNotSent, note == "all_trunks_busy" ? RejectCause::kNoCircuit : RejectCause::kNone};
     default:
       return kReset;
   }
 }
 
-core::ReleaseInfo InfoOf(const core::Ended& meaning, core::ReleaseCause cause) {
+core::ReleaseInfo InfoOf(const core::AttemptResult& meaning, core::ReleaseCause cause) {
   core::ReleaseInfo info;
   info.cause = cause;
-  info.means = meaning;
+  info.attempt_result = meaning;
   return info;
 }
 
--- a/src/platform/release_meaning.h
+++ b/src/platform/release_meaning.h
@@ -10,16 +10,16 @@
 namespace croftrun::platform {
 
 // It broke: it may have run.
-inline constexpr core::Ended kReset{Outcome::kReset, Cause::kNone};
+inline constexpr core::AttemptResult kReset{Outcome::kReset, RejectCause::kNone};
 // No connection came up: it never ran.
-inline constexpr core::Ended kNeverRan{Outcome::kConnectFailed, Cause::kNone};
+inline constexpr core::AttemptResult kNeverRan{Outcome::kConnectFailed, RejectCause::kNone};
 // The same, and other connections show that the exchange lives.
-inline constexpr core::Ended kConnectionLost{Outcome::kConnectFailed, Cause::kConnectionLost};
+inline constexpr core::AttemptResult kConnectionLost{Outcome::kConnectFailed, RejectCause::kConnectionLost};
 
 // What a release before the answer means. `note` may be empty; an unknown cause is a reset.
-core::Ended MeaningOf(int cause, const std::string& note);
+core::AttemptResult MeaningOf(int cause, const std::string& note);
 
-core::ReleaseInfo InfoOf(const core::Ended& meaning, core::ReleaseCause cause);
+core::ReleaseInfo InfoOf(const core::AttemptResult& meaning, core::ReleaseCause cause);
 
 }  // namespace croftrun::platform
 
