--- a/src/runtime/asio_runtime.cpp
+++ b/src/runtime/asio_runtime.cpp
@@ -54,7 +54,8 @@
 
 // The socket outlives the port for as long as the receiving coroutine needs to notice that it was closed.
 struct PortState {
-  PortState(asio::io_context& context, const core::Address& local, core::DatagramSink* s) : socket(context), sink(s) {
+  PortState(asio::io_context& context, const core::Address& local, core::DatagramHandler* s)
+      : socket(context), sink(s) {
     const udp::endpoint endpoint = EndpointOf<udp>(local);
     socket.open(endpoint.protocol());
     socket.bind(endpoint);
@@ -85,7 +86,8 @@
       for (std::size_t i = 0; i < static_cast<std::size_t>(count); ++i) {
         ++turn.counters.received;
         const core::Address sender{ntohl(from[i].sin_addr.s_addr), ntohs(from[i].sin_port)};
-        if (sink == nullptr || !sink->Wants(sender, {buffers.data() + i * kLargest, headers[i].msg_len})) continue;
+        if (sink == nullptr || !sink->ShouldReceive(sender, {buffers.data() + i * kLargest, headers[i].msg_len}))
+          continue;
         if (queued + headers[i].msg_len > kMostQueued) {
           ++turn.counters.dropped;
           continue;
@@ -136,7 +138,7 @@
     std::string bytes;
   };
   udp::socket socket;
-  core::DatagramSink* sink;  // null once the port is gone
+  core::DatagramHandler* sink;  // null once the port is gone
   std::vector<char> buffers;
   std::deque<Waiting> queue;
   std::size_t queued = 0;  // octets in it
@@ -180,7 +182,8 @@
 
 class AsioPort final : public core::DatagramPort {
  public:
-  AsioPort(asio::io_context& context, const core::Address& local, core::DatagramSink* sink, std::shared_ptr<Turn> turn)
+  AsioPort(asio::io_context& context, const core::Address& local, core::DatagramHandler* sink,
+           std::shared_ptr<Turn> turn)
       : state_(std::make_shared<PortState>(context, local, sink)), turn_(std::move(turn)) {
     // Owned by this port: it ends when the socket closes, and holds nothing but the state it shares with the port.
     asio::co_spawn(context, Receive(state_, turn_), asio::detached);
@@ -248,7 +251,7 @@
              std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - start_).count());
 }
 
-std::int64_t AsioRuntime::WallUs() const {
+std::int64_t AsioRuntime::WallClockUs() const {
   return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
@@ -274,11 +277,11 @@
   waiting_->timer.cancel();  // the loop wakes and arms itself for the first one
 }
 
-std::unique_ptr<core::DatagramPort> AsioRuntime::OpenPort(const core::Address& local, core::DatagramSink* sink) {
+std::unique_ptr<core::DatagramPort> AsioRuntime::OpenPort(const core::Address& local, core::DatagramHandler* sink) {
   return std::make_unique<AsioPort>(context_, local, sink, turn_);
 }
 
-TimeUs AsioRuntime::Backlog() const { return turn_->backlog; }
+TimeUs AsioRuntime::QueueDelay() const { return turn_->backlog; }
 
 const PortCounters& AsioRuntime::counters() const { return turn_->counters; }
 
--- a/src/runtime/asio_runtime.h
+++ b/src/runtime/asio_runtime.h
@@ -36,14 +36,14 @@
   ~AsioRuntime() override;
 
   TimeUs Now() const override;
-  std::int64_t WallUs() const override;
+  std::int64_t WallClockUs() const override;
   core::TimerId StartTimer(TimeUs delay, std::function<void()> due) override;
   void CancelTimer(core::TimerId timer) override;
-  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramSink* sink) override;
-  std::unique_ptr<core::Stream> Connect(const core::Address& to, TimeUs within, core::StreamSink* sink) override;
+  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* sink) override;
+  std::unique_ptr<core::Stream> Connect(const core::Address& to, TimeUs timeout, core::StreamHandler* sink) override;
   std::unique_ptr<core::StreamListener> Listen(const core::Address& local, core::StreamAcceptor* acceptor) override;
   std::uint64_t Random() override { return random_(); }
-  TimeUs Backlog() const override;
+  TimeUs QueueDelay() const override;
 
   // Runs until Stop; may be run again after it.
   void Run();
--- a/src/runtime/asio_streams.cpp
+++ b/src/runtime/asio_streams.cpp
@@ -43,8 +43,8 @@
 struct StreamState {
   explicit StreamState(tcp::socket s) : socket(std::move(s)), wake(socket.get_executor()) {}
   tcp::socket socket;
-  asio::steady_timer wake;           // ends the pause of the reader, or the wait for the connection
-  core::StreamSink* sink = nullptr;  // null until the acceptor named it, and once the stream is gone or over
+  asio::steady_timer wake;              // ends the pause of the reader, or the wait for the connection
+  core::StreamHandler* sink = nullptr;  // null until the acceptor named it, and once the stream is gone or over
   core::Address remote;
   std::string output;
   std::size_t written = 0;  // of it
@@ -58,7 +58,7 @@
   }
   void End(core::StreamEnd end) {
     Close();
-    if (core::StreamSink* const told = std::exchange(sink, nullptr)) told->OnEnd(end);
+    if (core::StreamHandler* const told = std::exchange(sink, nullptr)) told->OnEnd(end);
   }
   // Hands over what the socket takes now; false once the connection is broken. The reader tells of the break.
   bool Push() {
@@ -70,7 +70,7 @@
       written += static_cast<std::size_t>(sent);
     }
     output.clear();
-    if (output.capacity() > core::kMostStreamRead) output.shrink_to_fit();
+    if (output.capacity() > core::kMaxStreamRead) output.shrink_to_fit();
     written = 0;
     return true;
   }
@@ -94,7 +94,7 @@
 
 asio::awaitable<void> Read(std::shared_ptr<StreamState> state) {
   // One thread: whatever a read brings is worked on before the next one.
-  static thread_local std::array<char, core::kMostStreamRead> buffer;
+  static thread_local std::array<char, core::kMaxStreamRead> buffer;
   const auto executor = co_await asio::this_coro::executor;
   error_code error;
   while (state->sink != nullptr) {
@@ -116,7 +116,7 @@
   }
 }
 
-asio::awaitable<void> Open(std::shared_ptr<StreamState> state, TimeUs within) {
+asio::awaitable<void> Open(std::shared_ptr<StreamState> state, TimeUs timeout) {
   const auto executor = co_await asio::this_coro::executor;
   // Even what fails at once is told from the loop, not from within Connect.
   co_await asio::post(executor, asio::use_awaitable);
@@ -125,7 +125,7 @@
   state->socket.open(tcp::v4(), error);
   if (error) co_return state->End(core::StreamEnd::kTimedOut);  // no descriptor: as if it never came up
   bool late = false;
-  state->wake.expires_after(std::chrono::microseconds(within));
+  state->wake.expires_after(std::chrono::microseconds(timeout));
   state->wake.async_wait([state, &late](const error_code& cancelled) {
     if (cancelled || state->open) return;
     late = true;
@@ -180,7 +180,7 @@
 
 // Writes the rest while the far end goes on reading, closes this side's half, and reads until the far end closes too.
 asio::awaitable<void> CloseInOrder(std::shared_ptr<StreamState> state, std::shared_ptr<Lingering> lingering) {
-  static thread_local std::array<char, core::kMostStreamRead> dropped;
+  static thread_local std::array<char, core::kMaxStreamRead> dropped;
   error_code error;
   while (!state->over && state->Push() && !state->output.empty()) {
     CloseAfter(state);
@@ -230,13 +230,13 @@
     state_->output.append(bytes);
     Flush(state_);
   }
-  std::size_t Pending() const override { return state_->output.size() - state_->written; }
-  bool Unread() const override {
+  std::size_t PendingWriteOctets() const override { return state_->output.size() - state_->written; }
+  bool HasUnreadInput() const override {
     char octet = 0;
     return !state_->over && state_->open &&
            ::recv(state_->socket.native_handle(), &octet, 1, MSG_DONTWAIT | MSG_PEEK) > 0;
   }
-  bool FarEndGone() const override {
+  bool PeerClosed() const override {
     if (state_->over || !state_->open) return state_->over;
     pollfd asked{state_->socket.native_handle(), POLLRDHUP, 0};
     return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
@@ -272,7 +272,7 @@
     co_await state->socket.async_wait(tcp::acceptor::wait_read, asio::redirect_error(asio::use_awaitable, error));
     if (state->acceptor == nullptr) co_return;
     // One that cannot be had yet waits where it is: to close it would lose what it brings.
-    if (!state->acceptor->HasRoom()) {
+    if (!state->acceptor->CanAccept()) {
       state->pause.expires_after(kAcceptPause);
       co_await state->pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
@@ -280,7 +280,7 @@
     tcp::socket socket = co_await state->socket.async_accept(asio::redirect_error(asio::use_awaitable, error));
     if (state->acceptor == nullptr) co_return;
     if (error) {
-      if (error == asio::error::no_descriptors && !lingering->CloseOldest()) state->acceptor->OnNoRoom();
+      if (error == asio::error::no_descriptors && !lingering->CloseOldest()) state->acceptor->OnDescriptorsExhausted();
       state->pause.expires_after(kAcceptPause);
       co_await state->pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
@@ -320,11 +320,11 @@
 
 std::shared_ptr<Lingering> AsioRuntime::MakeLingering() { return std::make_shared<Lingering>(); }
 
-std::unique_ptr<core::Stream> AsioRuntime::Connect(const core::Address& to, TimeUs within, core::StreamSink* sink) {
+std::unique_ptr<core::Stream> AsioRuntime::Connect(const core::Address& to, TimeUs timeout, core::StreamHandler* sink) {
   auto state = std::make_shared<StreamState>(tcp::socket(context_));
   state->remote = to;
   state->sink = sink;
-  asio::co_spawn(context_, Open(state, within), asio::detached);
+  asio::co_spawn(context_, Open(state, timeout), asio::detached);
   return std::make_unique<AsioStream>(state, lingering_);
 }
 
--- a/src/runtime/posix_disk.cpp
+++ b/src/runtime/posix_disk.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-std::error_code PosixDisk::MakeFolder(const std::string& folder) {
+std::error_code PosixDisk::CreateFolder(const std::string& folder) {
   std::error_code error;
   std::filesystem::create_directories(folder, error);
   return error;
--- a/src/runtime/posix_disk.h
+++ b/src/runtime/posix_disk.h
@@ -8,7 +8,7 @@
 
 class PosixDisk final : public core::Disk {
  public:
-  std::error_code MakeFolder(const std::string& folder) override;
+  std::error_code CreateFolder(const std::string& folder) override;
   std::error_code List(const std::string& folder, std::vector<std::string>* names) override;
   std::error_code Read(const std::string& path, std::size_t most, std::string* octets) override;
   std::unique_ptr<core::File> Open(const std::string& path, std::error_code* error) override;
--- a/src/sim/memory_disk.h
+++ b/src/sim/memory_disk.h
@@ -16,7 +16,7 @@
     std::size_t synced = 0;
   };
 
-  std::error_code MakeFolder(const std::string&) override { return {}; }
+  std::error_code CreateFolder(const std::string&) override { return {}; }
   std::error_code List(const std::string& folder, std::vector<std::string>* names) override;
   std::error_code Read(const std::string& path, std::size_t most, std::string* octets) override;
   std::unique_ptr<core::File> Open(const std::string& path, std::error_code* error) override;
--- a/src/sim/stallable_runtime.cpp
+++ b/src/sim/stallable_runtime.cpp
@@ -6,14 +6,16 @@
 
 namespace croftrun::sim {
 
-class StallableRuntime::Port final : public core::DatagramPort, public core::DatagramSink {
+class StallableRuntime::Port final : public core::DatagramPort, public core::DatagramHandler {
  public:
-  Port(StallableRuntime* owner, const core::Address& local, core::DatagramSink* sink)
+  Port(StallableRuntime* owner, const core::Address& local, core::DatagramHandler* sink)
       : owner_(owner), sink_(sink), port_(owner->under_->OpenPort(local, this)) {}
   ~Port() override { *open_ = false; }
   void Send(const core::Address& to, std::string_view bytes) override { port_->Send(to, bytes); }
   core::Address Local() const override { return port_->Local(); }
-  bool Wants(const core::Address& from, std::string_view bytes) override { return sink_->Wants(from, bytes); }
+  bool ShouldReceive(const core::Address& from, std::string_view bytes) override {
+    return sink_->ShouldReceive(from, bytes);
+  }
   void OnDatagram(const core::Address& from, std::string_view bytes) override {
     if (!owner_->still_) return sink_->OnDatagram(from, bytes);
     owner_->Do(core::kNoTimer, [open = open_, sink = sink_, from, text = std::string(bytes)] {
@@ -23,7 +25,7 @@
 
  private:
   StallableRuntime* owner_;
-  core::DatagramSink* sink_;
+  core::DatagramHandler* sink_;
   std::shared_ptr<bool> open_ = std::make_shared<bool>(true);
   std::unique_ptr<core::DatagramPort> port_;
 };
@@ -59,7 +61,8 @@
   std::erase_if(waiting_, [timer](const Waiting& w) { return timer != core::kNoTimer && w.timer == timer; });
 }
 
-std::unique_ptr<core::DatagramPort> StallableRuntime::OpenPort(const core::Address& local, core::DatagramSink* sink) {
+std::unique_ptr<core::DatagramPort> StallableRuntime::OpenPort(const core::Address& local,
+                                                               core::DatagramHandler* sink) {
   return std::make_unique<Port>(this, local, sink);
 }
 
--- a/src/sim/stallable_runtime.h
+++ b/src/sim/stallable_runtime.h
@@ -22,12 +22,12 @@
   void Stall(bool stands_still);
 
   TimeUs Now() const override { return under_->Now(); }
-  std::int64_t WallUs() const override { return under_->WallUs(); }
+  std::int64_t WallClockUs() const override { return under_->WallClockUs(); }
   core::TimerId StartTimer(TimeUs delay, std::function<void()> due) override;
   void CancelTimer(core::TimerId timer) override;
-  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramSink* sink) override;
+  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* sink) override;
   std::uint64_t Random() override { return under_->Random(); }
-  TimeUs Backlog() const override { return backlog_; }
+  TimeUs QueueDelay() const override { return backlog_; }
 
  private:
   class Port;
--- a/src/sim/virtual_runtime.cpp
+++ b/src/sim/virtual_runtime.cpp
@@ -7,7 +7,7 @@
 
 class VirtualRuntime::Port final : public core::DatagramPort {
  public:
-  Port(VirtualRuntime* runtime, const core::Address& local, core::DatagramSink* s)
+  Port(VirtualRuntime* runtime, const core::Address& local, core::DatagramHandler* s)
       : sink(s), runtime_(runtime), local_(local) {}
   ~Port() override {
     if (runtime_ != nullptr) runtime_->ports_.erase(local_);
@@ -18,14 +18,14 @@
     runtime->StartTimer(runtime->latency_us_, [runtime, to, from = local_, text = std::string(bytes)] {
       // Nobody listens there: lost, as on the real network.
       const auto port = runtime->ports_.find(to);
-      if (port != runtime->ports_.end() && port->second->sink->Wants(from, text))
+      if (port != runtime->ports_.end() && port->second->sink->ShouldReceive(from, text))
         port->second->sink->OnDatagram(from, text);
     });
   }
   core::Address Local() const override { return local_; }
   void Orphan() { runtime_ = nullptr; }
 
-  core::DatagramSink* const sink;
+  core::DatagramHandler* const sink;
 
  private:
   VirtualRuntime* runtime_;
@@ -50,7 +50,7 @@
   due_at_.erase(found);
 }
 
-std::unique_ptr<core::DatagramPort> VirtualRuntime::OpenPort(const core::Address& local, core::DatagramSink* sink) {
+std::unique_ptr<core::DatagramPort> VirtualRuntime::OpenPort(const core::Address& local, core::DatagramHandler* sink) {
   auto port = std::make_unique<Port>(this, local, sink);
   if (!ports_.emplace(local, port.get()).second) {
     port->Orphan();
--- a/src/sim/virtual_runtime.h
+++ b/src/sim/virtual_runtime.h
@@ -26,9 +26,9 @@
   VirtualStream(VirtualRuntime* runtime, const core::Address& remote);
   ~VirtualStream() override;
   void Write(std::string_view bytes) override;
-  std::size_t Pending() const override;
-  bool Unread() const override;
-  bool FarEndGone() const override;
+  std::size_t PendingWriteOctets() const override;
+  bool HasUnreadInput() const override;
+  bool PeerClosed() const override;
   void PauseReading(bool pause) override;
   core::Address Remote() const override { return remote_; }
   // Both sides are told of a reset; what is on its way before it still arrives.
@@ -52,17 +52,17 @@
   explicit VirtualRuntime(std::uint64_t seed, TimeUs latency_us = 100) : random_(seed), latency_us_(latency_us) {}
   ~VirtualRuntime() override;
 
-  std::int64_t WallUs() const override { return wall_us_ + static_cast<std::int64_t>(now_); }
+  std::int64_t WallClockUs() const override { return wall_us_ + static_cast<std::int64_t>(now_); }
   // What the clock on the wall shows when Now() is 0.
   void SetWall(std::int64_t wall_us) { wall_us_ = wall_us; }
-  TimeUs Backlog() const override { return backlog_us_; }
+  TimeUs QueueDelay() const override { return backlog_us_; }
   // What work is said to have waited before it is looked at: the test's to choose, as nothing waits here.
   void SetBacklog(TimeUs backlog_us) { backlog_us_ = backlog_us; }
   TimeUs Now() const override { return now_; }
   core::TimerId StartTimer(TimeUs delay, std::function<void()> due) override;
   void CancelTimer(core::TimerId timer) override;
-  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramSink* sink) override;
-  std::unique_ptr<core::Stream> Connect(const core::Address& to, TimeUs within, core::StreamSink* sink) override;
+  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* sink) override;
+  std::unique_ptr<core::Stream> Connect(const core::Address& to, TimeUs timeout, core::StreamHandler* sink) override;
   std::unique_ptr<core::StreamListener> Listen(const core::Address& local, core::StreamAcceptor* acceptor) override;
   std::uint64_t Random() override { return random_(); }
   // Connections from now on come from this host; those to `to` never come up while it is silent.
--- a/src/sim/virtual_streams.cpp
+++ b/src/sim/virtual_streams.cpp
@@ -13,7 +13,7 @@
 
 // One direction's receiving end, shared by the stream that reads there and whatever is on its way to it.
 struct VirtualStream::End {
-  core::StreamSink* sink = nullptr;  // null: that side is gone, or was told the end
+  core::StreamHandler* sink = nullptr;  // null: that side is gone, or was told the end
   bool open = false, paused = false, over = false;
   core::StreamEnd how = core::StreamEnd::kClosed;
   std::string kept;  // arrived while paused
@@ -29,7 +29,7 @@
   void Finish(core::StreamEnd end) {
     over = true;
     if (paused && !kept.empty()) return void(how = end);  // told behind what lies unread
-    if (core::StreamSink* const told = std::exchange(sink, nullptr)) told->OnEnd(end);
+    if (core::StreamHandler* const told = std::exchange(sink, nullptr)) told->OnEnd(end);
   }
 };
 
@@ -53,9 +53,9 @@
   runtime_->StartTimer(runtime_->latency_us_, [far = far_, text = std::string(bytes)] { far->Bytes(text); });
 }
 
-std::size_t VirtualStream::Pending() const { return waiting_.size(); }
-bool VirtualStream::Unread() const { return !own_->kept.empty(); }
-bool VirtualStream::FarEndGone() const { return own_->over; }
+std::size_t VirtualStream::PendingWriteOctets() const { return waiting_.size(); }
+bool VirtualStream::HasUnreadInput() const { return !own_->kept.empty(); }
+bool VirtualStream::PeerClosed() const { return own_->over; }
 
 void VirtualStream::PauseReading(bool pause) {
   own_->paused = pause;
@@ -93,11 +93,12 @@
   return listener;
 }
 
-std::unique_ptr<core::Stream> VirtualRuntime::Connect(const core::Address& to, TimeUs within, core::StreamSink* sink) {
+std::unique_ptr<core::Stream> VirtualRuntime::Connect(const core::Address& to, TimeUs timeout,
+                                                      core::StreamHandler* sink) {
   auto stream = std::make_unique<VirtualStream>(this, to);
   stream->own_->sink = sink;
   if (silent_.count(to) > 0) {
-    StartTimer(within, [own = stream->own_] { own->Finish(core::StreamEnd::kTimedOut); });
+    StartTimer(timeout, [own = stream->own_] { own->Finish(core::StreamEnd::kTimedOut); });
     return stream;
   }
   // The stream may be gone when the connection comes up; what it shares is not.
@@ -115,7 +116,7 @@
     const auto listener = listeners_.find(to);
     if (listener == listeners_.end()) return own->Finish(core::StreamEnd::kRefused);
     // It waits to be accepted, as behind a real listener, and what is written to it waits with it.
-    if (!listener->second->acceptor->HasRoom()) return ComeUp(to, from, weak, kAcceptPause);
+    if (!listener->second->acceptor->CanAccept()) return ComeUp(to, from, weak, kAcceptPause);
     auto accepted = std::make_unique<VirtualStream>(this, from);
     accepted->own_ = far;
     accepted->far_ = own;
@@ -124,7 +125,7 @@
     own->sink->OnOpen();
     if (own->sink != nullptr && !opened.waiting_.empty()) opened.Write(std::exchange(opened.waiting_, {}));
     // Held by the call below until the acceptor has it; its sink is known only after that.
-    core::StreamSink* const accepting = listener->second->acceptor->OnAccept(std::move(accepted));
+    core::StreamHandler* const accepting = listener->second->acceptor->OnAccept(std::move(accepted));
     far->sink = accepting;
   });
 }
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -150,7 +150,7 @@
     case 502:
       return Outcome::kError;
     case 429:
-      return Outcome::kFull;
+      return Outcome::kRejected;
     case 408:
       return Outcome::kTimeout;
     case 521:
@@ -160,7 +160,7 @@
     case 444:
       return Outcome::kCancelled;
     case 409:
-      return Outcome::kMoot;
+      return Outcome::kNotSent;
     default:
       Malformed(where, "unknown outcome " + std::to_string(code));
   }
@@ -199,7 +199,7 @@
         return true;
       }
       case EventCode::kElapsed:
-        record->body = Event(TimerDue{Take<std::uint64_t>()});
+        record->body = Event(TimerExpired{Take<std::uint64_t>()});
         return true;
       case EventCode::kProvision: {
         Provision provision;
@@ -209,7 +209,7 @@
         return true;
       }
       case EventCode::kEcho: {
-        ReportHeard heard;
+        LoadReportReceived heard;
         heard.exchange = Take<std::uint32_t>();
         heard.elapsed_us = Take<std::uint32_t>();
         heard.outcome = TakeOutcome();
@@ -234,14 +234,14 @@
         call.width = static_cast<double>(TakeFloat());
         call.via = NumberOf(TakeFloat());
         const auto marks = Take<std::uint8_t>();
-        call.redialled = (marks & kMarkRedialled) != 0;
+        call.is_redial = (marks & kMarkRedialled) != 0;
         call.in_transit = (marks & kMarkTransit) != 0;
-        call.cut_before = (marks & kMarkCut) != 0;
+        call.previously_cut = (marks & kMarkCut) != 0;
         record->body = Event(call);
         return true;
       }
       case EventCode::kGone:
-        record->body = Event(CallerGone{Take<std::uint32_t>()});
+        record->body = Event(CallAbandoned{Take<std::uint32_t>()});
         return true;
       case EventCode::kDetach:
         record->body = Detach{};
@@ -253,20 +253,20 @@
         const auto why = Take<std::uint32_t>();
         switch (why & 15U) {
           case 1:
-            ended.cause = Cause::kNoCircuit;
+            ended.cause = RejectCause::kNoCircuit;
             break;
           case 2:
-            ended.cause = (why & 16U) != 0 ? Cause::kTurnedBackFull : Cause::kTurnedBack;
+            ended.cause = (why & 16U) != 0 ? RejectCause::kCrankbackProcessorFull : RejectCause::kCrankback;
             break;
           case 3:
-            ended.cause = Cause::kProcessorFull;
+            ended.cause = RejectCause::kProcessorFull;
             ended.wait_us = TimeUs{why >> 4U} * 1000U;
             break;
           case 4:
-            ended.cause = Cause::kLinesBusy;
+            ended.cause = RejectCause::kLinesBusy;
             break;
           default:
-            ended.cause = Cause::kNone;
+            ended.cause = RejectCause::kNone;
             break;
         }
         ended.attempt = Take<std::uint16_t>();
@@ -278,7 +278,7 @@
         return true;
       }
       case EventCode::kAckFirst: {
-        CallStands stands;
+        CallEstablished stands;
         stands.call = Take<std::uint32_t>();
         stands.exchange = Take<std::uint32_t>();
         stands.attempt = Take<std::uint16_t>();
@@ -301,23 +301,23 @@
   std::visit(
       [&](const auto& act) {
         using T = std::decay_t<decltype(act)>;
-        if constexpr (std::is_same_v<T, Send>) {
+        if constexpr (std::is_same_v<T, SendSetUp>) {
           begin(ActionCode::kForward);
           Append(&records_, act.call);
           Append(&records_, std::min(Clip32(act.timeout_us), 0x7fffffffU));
           Append(&records_, act.exchange);
-        } else if constexpr (std::is_same_v<T, Cancel>) {
+        } else if constexpr (std::is_same_v<T, CancelSetUp>) {
           begin(ActionCode::kRetract);
           Append(&records_, act.call);
           Append(&records_, static_cast<std::uint16_t>(act.attempt));
-        } else if constexpr (std::is_same_v<T, Probe>) {
+        } else if constexpr (std::is_same_v<T, SendProbe>) {
           begin(ActionCode::kPoll);
           Append(&records_, act.exchange);
-        } else if constexpr (std::is_same_v<T, Refuse>) {
+        } else if constexpr (std::is_same_v<T, RefuseCall>) {
           begin(ActionCode::kOverloadReply);
           Append(&records_, act.call);
-          Append(&records_, Clip32(act.pause_us));
-        } else if constexpr (std::is_same_v<T, Fail>) {
+          Append(&records_, Clip32(act.retry_after_us));
+        } else if constexpr (std::is_same_v<T, FailCall>) {
           begin(ActionCode::kReportFailure);
           Append(&records_, act.call);
         } else if constexpr (std::is_same_v<T, SetTimer>) {
@@ -326,11 +326,11 @@
           Append(&records_, act.token);
         } else if constexpr (std::is_same_v<T, FetchDirectory>) {
           begin(ActionCode::kListAll);
-        } else if constexpr (std::is_same_v<T, Subscribe>) {
+        } else if constexpr (std::is_same_v<T, SubscribeDirectory>) {
           begin(ActionCode::kListen);
-          Append(&records_, static_cast<std::uint8_t>(act.on ? 1 : 0));
+          Append(&records_, static_cast<std::uint8_t>(act.enabled ? 1 : 0));
         } else {
-          static_assert(std::is_same_v<T, Log>);
+          static_assert(std::is_same_v<T, WriteLog>);
           begin(ActionCode::kJournalLine);
           AppendText(&records_, act.text);
         }
--- a/src/wire/settings_parser.cpp
+++ b/src/wire/settings_parser.cpp
@@ -125,40 +125,43 @@
 Settings ParseSettings(std::string_view text) {
   const Reader reader(text);
   Settings s;
-  reader.Choice<Shape>("family_info.shape", {{"meshed", Shape::kMeshed}, {"groups", Shape::kGroups}}, &s.shape);
-  reader.Choice<Discovery>("discovery", {{"automatic", Discovery::kAutomatic}, {"subscribe", Discovery::kSubscribe}},
-                           &s.discovery);
+  reader.Choice<Topology>("family_info.shape", {{"meshed", Topology::kMeshed}, {"groups", Topology::kGroups}},
+                          &s.topology);
+  reader.Choice<DiscoveryMode>("discovery",
+                               {{"automatic", DiscoveryMode::kAutomatic}, {"subscribe", DiscoveryMode::kSubscribe}},
+                               &s.discovery_mode);
   reader.Int("family_info.home_no", &s.own_number);
   reader.Int("my_zone", &s.own_zone);
-  reader.Int("balancers", &s.senders);
+  reader.Int("balancers", &s.softswitch_count);
   reader.Number("over_share_worth", &s.over_quota_worth);
-  reader.Time("family_info.release_us", &s.release_us);
-  reader.Time("family_info.repeat_us", &s.repeat_us);
+  reader.Time("family_info.release_us", &s.resend_guard_us);
+  reader.Time("family_info.repeat_us", &s.retransmit_interval_us);
   reader.Bool("family_info.route_advice", &s.route_advice);
-  reader.Bool("family_info.tells_wait", &s.tells_wait);
+  reader.Bool("family_info.tells_wait", &s.reports_wait_time);
   reader.Time("contract.drain_grace_us", &s.drain_grace_us);
-  reader.Number("contract.cold_from", &s.cold_from);
+  reader.Number("contract.cold_from", &s.warm_up_start_share);
   reader.Time("contract.warm_up_us", &s.warm_up_us);
-  reader.Number("contract.fall_multiple", &s.fall_multiple);
-  reader.Time("contract.fall_us", &s.fall_us);
-  reader.Time("contract.ask_within_us", &s.ask_within_us);
-  reader.Int("allowed.most_tries", &s.most_attempts);
-  int most_held = static_cast<int>(s.most_held);
-  reader.Int("allowed.most_held", &most_held);
-  s.most_held = static_cast<std::uint32_t>(most_held > 0 ? most_held : 0);
+  reader.Number("contract.fall_multiple", &s.collapse_multiple);
+  reader.Time("contract.fall_us", &s.collapse_time_us);
+  reader.Time("contract.ask_within_us", &s.keep_alive_us);
+  reader.Int("allowed.most_tries", &s.max_attempts);
+  int max_held_calls = static_cast<int>(s.max_held_calls);
+  reader.Int("allowed.most_held", &max_held_calls);
+  s.max_held_calls = static_cast<std::uint32_t>(max_held_calls > 0 ? max_held_calls : 0);
   reader.Bool("allowed.may_cancel", &s.may_cancel);
   reader.Bool("allowed.probes", &s.may_probe);
-  reader.Bool("allowed.peers", &s.may_tell_peers);
+  reader.Bool("allowed.peers", &s.may_notify_peers);
   reader.Bool("allowed.may_duplicate", &s.may_duplicate);
-  reader.Bool("allowed.retry_after", &s.honours_pause);
-  reader.Time("allowed.max_retry_after_us", &s.longest_pause_us);
+  reader.Bool("allowed.retry_after", &s.honours_retry_after);
+  reader.Time("allowed.max_retry_after_us", &s.max_retry_after_us);
   reader.Bool("clients.marks_retry", &s.marks_redials);
 
   if (const auto* fields = reader.Find("report.fields")) {
     static const std::map<std::string_view, ReportField> kFields = {
-        {"spare", ReportField::kSpare},     {"total", ReportField::kTotal},        {"busy_reqs", ReportField::kBusy},
-        {"pending", ReportField::kPending}, {"cpu_share", ReportField::kCpuShare}, {"svc_ms", ReportField::kWaitMs},
-        {"allowed", ReportField::kAllowed}, {"cut_by", ReportField::kCutBy}};
+        {"spare", ReportField::kFreeCircuits},    {"total", ReportField::kTotalCircuits},
+        {"busy_reqs", ReportField::kBusyWorkers}, {"pending", ReportField::kPendingSetUps},
+        {"cpu_share", ReportField::kCpuShare},    {"svc_ms", ReportField::kWaitMs},
+        {"allowed", ReportField::kAllowedRate},   {"cut_by", ReportField::kLoadReduction}};
     for (const auto name : SplitOn(*fields, ',')) {
       const auto found = kFields.find(name);
       s.report_fields.push_back(found == kFields.end() ? ReportField::kUnknown : found->second);
@@ -175,16 +178,17 @@
     const auto index = static_cast<std::size_t>(i);
     CallClass c;
     if (const auto* name = reader.Find(key + "name")) c.name = *name;
-    reader.Choice<Repeat>(key + "repeat",
-                          {{"idempotent", Repeat::kIdempotent},
-                           {"deduplicated", Repeat::kDeduplicated},
-                           {"at_most_once", Repeat::kAtMostOnce}},
-                          &c.repeat);
-    reader.Choice<RepeatGroup>(
-        key + "group", {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kNumber}},
-        &c.group);
-    reader.Time(key + "window_us", &c.window_us);
-    reader.Time(key + "slo_us", &c.aim_us);
+    reader.Choice<RetrySemantics>(key + "repeat",
+                                  {{"idempotent", RetrySemantics::kIdempotent},
+                                   {"deduplicated", RetrySemantics::kDeduplicated},
+                                   {"at_most_once", RetrySemantics::kAtMostOnce}},
+                                  &c.retry_semantics);
+    reader.Choice<DeduplicationScope>(
+        key + "group",
+        {{"all", DeduplicationScope::kAll}, {"zone", DeduplicationScope::kZone}, {"cell", DeduplicationScope::kNumber}},
+        &c.deduplication_scope);
+    reader.Time(key + "window_us", &c.deduplication_window_us);
+    reader.Time(key + "slo_us", &c.target_delay_us);
     reader.Time(key + "hard_limit_us", &c.deadline_us);
     reader.Number(key + "worth", &c.worth);
     reader.Number(key + "late_worth", &c.late_worth);
--- a/src/ws/server.cpp
+++ b/src/ws/server.cpp
@@ -12,7 +12,7 @@
 #include <chrono>
 #include <deque>
 
-#include "door/bucket.h"
+#include "admission/token_bucket.h"
 
 namespace croftrun::ws {
 
@@ -21,21 +21,22 @@
 using asio::ip::tcp;
 
 struct Server::State {
-  State(asio::io_context* c, const ServerSettings& s, Desk* d) : context(c), settings(s), desk(d), acceptor(*c) {
+  State(asio::io_context* c, const ServerSettings& s, SessionManager* d)
+      : context(c), settings(s), session_manager(d), acceptor(*c) {
     limit = {static_cast<double>(s.accepts_per_s), static_cast<double>(s.accepts_per_s)};
     bucket.tokens = limit.burst;
   }
   asio::io_context* context;
   ServerSettings settings;
-  Desk* desk;  // null once the server is gone
+  SessionManager* session_manager;  // null once the server is gone
   tcp::acceptor acceptor;
   std::set<std::shared_ptr<Connection>> connections;
-  door::BucketSettings limit;
-  door::Bucket bucket;
+  admission::TokenBucketSettings limit;
+  admission::TokenBucket bucket;
   Counters counters;
 };
 
-class Server::Connection final : public Sink, public std::enable_shared_from_this<Connection> {
+class Server::Connection final : public ConnectionOutput, public std::enable_shared_from_this<Connection> {
  public:
   Connection(tcp::socket socket, std::shared_ptr<State> state)
       : stream_(std::move(socket)), wake_(*state->context), state_(std::move(state)) {}
@@ -75,21 +76,21 @@
     co_await self->stream_.async_accept(asio::redirect_error(asio::use_awaitable, error));
     if (error) {
       ++state->counters.handshakes_failed;
-    } else if (state->desk != nullptr) {
+    } else if (state->session_manager != nullptr) {
       beast::error_code unknown;
       const auto peer = beast::get_lowest_layer(self->stream_).socket().remote_endpoint(unknown);
-      self->id_ = state->desk->OnOpened(self.get(), unknown ? "?" : peer.address().to_string());
+      self->id_ = state->session_manager->OnOpened(self.get(), unknown ? "?" : peer.address().to_string());
       asio::co_spawn(*state->context, Write(self), asio::detached);
       beast::flat_buffer buffer;
-      while (!error && state->desk != nullptr) {
+      while (!error && state->session_manager != nullptr) {
         co_await self->stream_.async_read(buffer, asio::redirect_error(asio::use_awaitable, error));
-        if (error || state->desk == nullptr) break;
+        if (error || state->session_manager == nullptr) break;
         const auto data = buffer.cdata();
         const std::string text(static_cast<const char*>(data.data()), data.size());
         buffer.consume(buffer.size());
-        state->desk->OnText(self->id_, text);
+        state->session_manager->OnText(self->id_, text);
       }
-      if (state->desk != nullptr) state->desk->OnClosed(self->id_);
+      if (state->session_manager != nullptr) state->session_manager->OnClosed(self->id_);
     }
     self->over_ = true;
     self->wake_.cancel();
@@ -134,11 +135,11 @@
   bool closing_ = false, over_ = false;
   int code_ = 1000;
   std::string reason_;
-  Desk::ConnectionId id_ = 0;
+  SessionManager::ConnectionId id_ = 0;
 };
 
-Server::Server(asio::io_context* context, const ServerSettings& settings, Desk* desk)
-    : state_(std::make_shared<State>(context, settings, desk)) {
+Server::Server(asio::io_context* context, const ServerSettings& settings, SessionManager* session_manager)
+    : state_(std::make_shared<State>(context, settings, session_manager)) {
   const tcp::endpoint endpoint(asio::ip::address_v4(settings.listen.host), settings.listen.port);
   state_->acceptor.open(endpoint.protocol());
   state_->acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -147,10 +148,10 @@
   const auto accept = [](std::shared_ptr<State> state) -> asio::awaitable<void> {
     beast::error_code error;
     asio::steady_timer pause(*state->context);
-    while (state->desk != nullptr) {
+    while (state->session_manager != nullptr) {
       tcp::socket socket(*state->context);
       co_await state->acceptor.async_accept(socket, asio::redirect_error(asio::use_awaitable, error));
-      if (state->desk == nullptr || error == asio::error::operation_aborted) co_return;
+      if (state->session_manager == nullptr || error == asio::error::operation_aborted) co_return;
       if (error) {
         // Out of descriptors, most likely: others are about to close theirs.
         pause.expires_after(std::chrono::milliseconds(50));
@@ -161,7 +162,8 @@
       const auto now = static_cast<TimeUs>(
           std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now().time_since_epoch())
               .count());
-      if (state->connections.size() >= state->settings.most_connections || !state->bucket.Take(state->limit, now)) {
+      if (state->connections.size() >= state->settings.most_connections ||
+          !state->bucket.TryConsume(state->limit, now)) {
         ++state->counters.turned_away;
         continue;  // the socket closes as it goes out of scope
       }
@@ -176,7 +178,7 @@
 }
 
 Server::~Server() {
-  state_->desk = nullptr;
+  state_->session_manager = nullptr;
   beast::error_code ignored;
   state_->acceptor.close(ignored);
   for (const auto& connection : std::set(state_->connections)) connection->Drop();
--- a/src/ws/server.h
+++ b/src/ws/server.h
@@ -3,7 +3,7 @@
 //
 // Each connection has one owner, the server, and two coroutines that hold it; closing its socket ends both.
 // Bounded: connections, time for the handshake, size of a message, time without a sign of life (pings), what
-// waits to be sent (the desk closes).
+// waits to be sent (the session manager closes it).
 #ifndef CROFTRUN_WS_SERVER_H_
 #define CROFTRUN_WS_SERVER_H_
 
@@ -13,7 +13,7 @@
 #include <set>
 
 #include "core/runtime.h"
-#include "ws/desk.h"
+#include "ws/session_manager.h"
 
 namespace croftrun::ws {
 
@@ -31,8 +31,8 @@
   struct Counters {
     std::uint64_t accepted = 0, turned_away = 0, handshakes_failed = 0;
   };
-  // Binds; throws boost::system::system_error. `context` and `desk` outlive it.
-  Server(boost::asio::io_context* context, const ServerSettings& settings, Desk* desk);
+  // Binds; throws boost::system::system_error. `context` and `session_manager` outlive it.
+  Server(boost::asio::io_context* context, const ServerSettings& settings, SessionManager* session_manager);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
--- a/src/ws/session.h
+++ b/src/ws/session.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "door/bucket.h"
+#include "admission/token_bucket.h"
 #include "ws/api.h"
 
 namespace croftrun::ws {
@@ -19,7 +19,7 @@
 struct SessionSettings {
   std::size_t most_requests = 256;  // replies remembered, for commands that come again
   std::size_t most_calls = 64;      // open at once
-  door::BucketSettings commands = {50.0, 100.0};
+  admission::TokenBucketSettings commands = {50.0, 100.0};
 };
 
 class Session {
@@ -29,7 +29,7 @@
   }
 
   // A command within the rate; false: too many.
-  bool Within(TimeUs now) { return commands_.Take(settings_.commands, now); }
+  bool Within(TimeUs now) { return commands_.TryConsume(settings_.commands, now); }
 
   // The reply to a command of this id, if it was carried out before.
   const std::string* Known(const std::string& id) const {
@@ -86,7 +86,7 @@
     bool delivered = false;
   };
   SessionSettings settings_;
-  door::Bucket commands_;
+  admission::TokenBucket commands_;
   std::unordered_map<std::string, std::string> replies_;
   std::deque<std::string> order_;
   std::set<CallId> calls_;
--- a/src/ws/desk.cpp
+++ b/src/ws/session_manager.cpp
@@ -1,4 +1,4 @@
-#include "ws/desk.h"
+#include "ws/session_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,12 +13,12 @@
 
 }  // namespace
 
-Desk::Desk(const DeskSettings& settings, core::Runtime* runtime, CallDesk* calls)
+SessionManager::SessionManager(const SessionManagerSettings& settings, core::Runtime* runtime, CallService* calls)
     : settings_(settings), runtime_(runtime), calls_(calls), sweep_(runtime) {
   sweep_.Start(kSweep, [this] { Sweep(); });
 }
 
-std::string Desk::NewName() {
+std::string SessionManager::NewName() {
   std::string name;
   for (int i = 0; i < 4; ++i) {
     std::uint64_t draw = runtime_->Random();
@@ -27,14 +27,14 @@
   return name;
 }
 
-Desk::ConnectionId Desk::OnOpened(Sink* sink, std::string address) {
+SessionManager::ConnectionId SessionManager::OnOpened(ConnectionOutput* sink, std::string address) {
   ++counters_.connections;
   const ConnectionId id = next_++;
   connections_[id] = {sink, std::move(address), nullptr, runtime_->Now(), false};
   return id;
 }
 
-void Desk::OnClosed(ConnectionId id) {
+void SessionManager::OnClosed(ConnectionId id) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
   if (Held* held = found->second.held; held != nullptr && held->connection == id) {
@@ -44,7 +44,7 @@
   connections_.erase(found);
 }
 
-void Desk::Send(ConnectionId id, std::string text) {
+void SessionManager::Send(ConnectionId id, std::string text) {
   const auto found = connections_.find(id);
   if (found == connections_.end() || found->second.closing) return;
   // A slow reader must not cost memory without bound: what it is owed stays in its session, for when it
@@ -56,7 +56,7 @@
   found->second.sink->Send(std::move(text));
 }
 
-void Desk::Close(ConnectionId id, int code, std::string reason) {
+void SessionManager::Close(ConnectionId id, int code, std::string reason) {
   const auto found = connections_.find(id);
   if (found == connections_.end() || found->second.closing) return;
   found->second.closing = true;
@@ -67,11 +67,11 @@
   found->second.sink->Close(code, std::move(reason));
 }
 
-bool Desk::Expired(const Held& held) const {
-  return held.identity.expires_s != 0 && runtime_->WallUs() / 1'000'000 >= held.identity.expires_s;
+bool SessionManager::Expired(const Held& held) const {
+  return held.identity.expires_s != 0 && runtime_->WallClockUs() / 1'000'000 >= held.identity.expires_s;
 }
 
-void Desk::OnText(ConnectionId id, std::string_view text) {
+void SessionManager::OnText(ConnectionId id, std::string_view text) {
   const auto found = connections_.find(id);
   if (found == connections_.end() || found->second.closing) return;
   ++counters_.commands;
@@ -113,12 +113,12 @@
   }
 }
 
-void Desk::Hello(ConnectionId id, const Command& command) {
+void SessionManager::Hello(ConnectionId id, const Command& command) {
   ++counters_.hellos;
   Connection& connection = connections_.at(id);
   std::optional<Identity> identity = Identity{connection.address, "", 0};
   if (!settings_.token_keys.empty()) identity = ReadToken(command.token, settings_.token_keys);
-  if (!identity || (identity->expires_s != 0 && runtime_->WallUs() / 1'000'000 >= identity->expires_s)) {
+  if (!identity || (identity->expires_s != 0 && runtime_->WallClockUs() / 1'000'000 >= identity->expires_s)) {
     ++counters_.denied;
     Send(id, ErrorText({command.id, "denied",
                         identity ? "the token has expired" : "expected a token signed with a key in force"}));
@@ -168,7 +168,7 @@
   for (std::string& event : held->session.Missed(command.have)) Send(id, std::move(event));
 }
 
-json Desk::Carry(Held& held, const Command& command, ApiError* error) {
+json SessionManager::Carry(Held& held, const Command& command, ApiError* error) {
   switch (command.what) {
     case Do::kPlace:
       return Place(held, command, error);
@@ -203,7 +203,7 @@
   return json::object();
 }
 
-json Desk::Place(Held& held, const Command& command, ApiError* error) {
+json SessionManager::Place(Held& held, const Command& command, ApiError* error) {
   if (Expired(held)) {
     *error = {command.id, "token-expired", "say hello with a fresh token; calls that are up go on"};
     return {};
@@ -213,10 +213,10 @@
               "expected at most " + std::to_string(settings_.session.most_calls) + " calls at once"};
     return {};
   }
-  core::Offer offer;
+  core::CallRequest offer;
   offer.called = command.called;
   offer.calling = command.calling.empty() ? held.identity.client : command.calling;
-  offer.patience_us = command.patience_us;
+  offer.caller_timeout_us = command.patience_us;
   bool refused = false;
   TimeUs pause_us = 0;
   if (!calls_->Classify(&offer, held.identity.customer, &refused, &pause_us)) {
@@ -236,7 +236,7 @@
   return {{"call", call}};
 }
 
-void Desk::Tell(CallId call, std::string_view event, json figures) {
+void SessionManager::Tell(CallId call, std::string_view event, json figures) {
   const auto owner = owners_.find(call);
   if (owner == owners_.end()) return;
   Held& held = *owner->second;
@@ -250,10 +250,10 @@
   if (held.connection != 0) Send(held.connection, text);
 }
 
-void Desk::OnFinal(CallId call, const core::FinalAnswer& answer) {
+void SessionManager::OnFinalAnswer(CallId call, const core::FinalAnswer& answer) {
   json figures = {{"answer", kAnswers[static_cast<std::size_t>(answer.kind)]},
                   {"cause", static_cast<int>(answer.cause)}};
-  if (answer.pause_us > 0) figures["pause_ms"] = answer.pause_us / 1000;
+  if (answer.retry_after_us > 0) figures["pause_ms"] = answer.retry_after_us / 1000;
   if (placing_ != nullptr && owners_.count(call) == 0) {
     early_.emplace_back("final", std::move(figures));
     return;
@@ -261,7 +261,7 @@
   Tell(call, "final", std::move(figures));
 }
 
-void Desk::OnEnded(CallId call, core::ReleaseCause cause) {
+void SessionManager::OnCallEnded(CallId call, core::ReleaseCause cause) {
   json figures = {{"cause", static_cast<int>(cause)}};
   if (placing_ != nullptr && owners_.count(call) == 0) {
     early_.emplace_back("ended", std::move(figures));
@@ -270,7 +270,7 @@
   Tell(call, "ended", std::move(figures));
 }
 
-void Desk::TellAll(bool Held::*wanted, const char* what) {
+void SessionManager::TellAll(bool Held::*wanted, const char* what) {
   json list;
   for (auto& [name, held] : sessions_) {
     if (!((*held).*wanted) || held->connection == 0) continue;
@@ -280,10 +280,10 @@
   }
 }
 
-void Desk::TellGroups() { TellAll(&Held::groups, "groups"); }
-void Desk::TellRoster() { TellAll(&Held::roster, "roster"); }
+void SessionManager::TellGroups() { TellAll(&Held::groups, "groups"); }
+void SessionManager::TellRoster() { TellAll(&Held::roster, "roster"); }
 
-void Desk::End(const std::string& name) {
+void SessionManager::End(const std::string& name) {
   const auto found = sessions_.find(name);
   if (found == sessions_.end()) return;
   ++counters_.expired;
@@ -296,7 +296,7 @@
   }
 }
 
-void Desk::Sweep() {
+void SessionManager::Sweep() {
   const TimeUs now = runtime_->Now();
   std::vector<std::string> over;
   for (const auto& [name, held] : sessions_) {
--- a/src/ws/desk.h
+++ b/src/ws/session_manager.h
@@ -1,13 +1,13 @@
 // The front of the API between connections and the core: who is there, what they ask, what they are told. It
 // uses the core by the same intake as the MGCP front, so door, rules of the module and answers are the same.
-// No sockets: a connection is a Sink.
+// No sockets: a connection is a ConnectionOutput.
 //
 // States of a session            left by
 //   attached    a connection      that closes, or another takes the session over
 //   away        none              a hello with its name within `resume_us`; else it ends and its calls are
 //   hung up
-#ifndef CROFTRUN_WS_DESK_H_
-#define CROFTRUN_WS_DESK_H_
+#ifndef CROFTRUN_WS_SESSION_MANAGER_H_
+#define CROFTRUN_WS_SESSION_MANAGER_H_
 
 #include <deque>
 #include <functional>
@@ -25,9 +25,9 @@
 namespace croftrun::ws {
 
 // One connection, as its transport has it. Outlives OnClosed.
-class Sink {
+class ConnectionOutput {
  public:
-  virtual ~Sink() = default;
+  virtual ~ConnectionOutput() = default;
   virtual void Send(std::string text) = 0;
   // What was sent and has not left yet, in octets.
   virtual std::size_t Queued() const = 0;
@@ -35,7 +35,7 @@
   virtual void Close(int code, std::string reason) = 0;
 };
 
-struct DeskSettings {
+struct SessionManagerSettings {
   std::vector<std::string> token_keys;  // none: whoever connects is a client by its address
   std::size_t most_sessions = 1'024;
   std::size_t most_queued = 256 << 10;  // octets to a connection; beyond, it reads too slowly and is closed
@@ -47,18 +47,18 @@
 
 // What the desk asks of the edge around it: fronts share the classification of calls and the way into the
 // core.
-class CallDesk {
+class CallService {
  public:
-  virtual ~CallDesk() = default;
+  virtual ~CallService() = default;
   // Number plan, class, customer, rules. False: nobody has that number, or a rule refuses it (`*refused`,
   // `*pause_us`).
-  virtual bool Classify(core::Offer* offer, const std::string& customer, bool* refused, TimeUs* pause_us) = 0;
-  virtual CallId Take(const core::Offer& offer, core::Subscriber* subscriber, std::string_view client) = 0;
+  virtual bool Classify(core::CallRequest* offer, const std::string& customer, bool* refused, TimeUs* pause_us) = 0;
+  virtual CallId Take(const core::CallRequest& offer, core::CallOwner* owner, std::string_view client) = 0;
   virtual void HangUp(CallId call) = 0;
   virtual nlohmann::json List(const std::string& what) = 0;
 };
 
-class Desk final : public core::Subscriber {
+class SessionManager final : public core::CallOwner {
  public:
   struct Counters {
     std::uint64_t connections = 0, hellos = 0, denied = 0, sessions = 0, resumed = 0, expired = 0;
@@ -68,10 +68,10 @@
   using ConnectionId = std::uint64_t;
 
   // All outlive it.
-  Desk(const DeskSettings& settings, core::Runtime* runtime, CallDesk* calls);
+  SessionManager(const SessionManagerSettings& settings, core::Runtime* runtime, CallService* calls);
 
   // `address`: where it comes from, for clients without a token.
-  ConnectionId OnOpened(Sink* sink, std::string address);
+  ConnectionId OnOpened(ConnectionOutput* sink, std::string address);
   void OnText(ConnectionId connection, std::string_view text);
   // The transport has lost it; the sink is not used any more.
   void OnClosed(ConnectionId connection);
@@ -82,8 +82,8 @@
   void TellGroups();
   void TellRoster();
 
-  void OnFinal(CallId call, const core::FinalAnswer& answer) override;
-  void OnEnded(CallId call, core::ReleaseCause cause) override;
+  void OnFinalAnswer(CallId call, const core::FinalAnswer& answer) override;
+  void OnCallEnded(CallId call, core::ReleaseCause cause) override;
 
   std::size_t connections() const { return connections_.size(); }
   std::size_t sessions() const { return sessions_.size(); }
@@ -99,7 +99,7 @@
     bool groups = false, roster = false;
   };
   struct Connection {
-    Sink* sink = nullptr;
+    ConnectionOutput* sink = nullptr;
     std::string address;
     Held* held = nullptr;  // null before its hello
     TimeUs opened = 0;
@@ -118,9 +118,9 @@
   bool Expired(const Held& held) const;
   std::string NewName();
 
-  DeskSettings settings_;
+  SessionManagerSettings settings_;
   core::Runtime* runtime_;
-  CallDesk* calls_;
+  CallService* calls_;
   std::map<ConnectionId, Connection> connections_;
   std::map<std::string, std::unique_ptr<Held>> sessions_;
   std::unordered_map<CallId, Held*> owners_;
@@ -135,4 +135,4 @@
 
 }  // namespace croftrun::ws
 
-#endif  // CROFTRUN_WS_DESK_H_
+#endif  // CROFTRUN_WS_SESSION_MANAGER_H_
--- a/tests/door_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,6 +1,4 @@
 // The door: fair shares against an exact model, fixed memory, floods under made-up identities, promises kept.
-#include "door/door.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -10,14 +8,15 @@
 #include <random>
 #include <string>
 
+#include "admission/admission_controller.h"
 #include "lab/doors.h"
 
-namespace croftrun::door {
+namespace croftrun::admission {
 namespace {
 
 constexpr TimeUs kSecond = 1'000'000;
 
-Waiting Of(CallId call, int customer, TimeUs until = 100 * kSecond) {
+QueuedCall Of(CallId call, int customer, TimeUs until = 100 * kSecond) {
   return {call, call, call, customer, 0, until, 1.0, false};
 }
 
@@ -121,37 +120,38 @@
 
 // ---- promises ----
 
-TEST(Promises, NoMoreInASpanThanCanBeServedAndNeverPastWhatTheSiteAllows) {
+TEST(RetryReservations, NoMoreInASpanThanCanBeServedAndNeverPastWhatTheSiteAllows) {
   EXPECT_TRUE(rc::check([] {
-    Promises promises({});
+    RetryReservations promises({});
     const double a_span = *rc::gen::inRange(1, 20);
     const TimeUs now = 1000 * kSecond, latest = now + static_cast<TimeUs>(*rc::gen::inRange(1, 20)) * kSecond;
     std::map<TimeUs, int> spans;
     int made = 0;
     for (std::uint64_t who = 1; who < 2'000; ++who) {
-      const auto at = promises.Make(who * 0x9e3779b97f4a7c15U, now + 500'000, latest, a_span, 0.5, now);
+      const auto at = promises.Reserve(who * 0x9e3779b97f4a7c15U, now + 500'000, latest, a_span, 0.5, now);
       if (!at) continue;
       ++made;
       RC_ASSERT(*at >= now + 500'000);
       RC_ASSERT(*at <= latest);
       RC_ASSERT(++spans[*at / 100'000] <= static_cast<int>(a_span));
       TimeUs told = 0;
-      RC_ASSERT(promises.Look(who * 0x9e3779b97f4a7c15U, now + 1000, &told) == Promises::Comes::kEarly);
+      RC_ASSERT(promises.ClassifyArrival(who * 0x9e3779b97f4a7c15U, now + 1000, &told) ==
+                RetryReservations::ArrivalKind::kEarly);
       RC_ASSERT(told == *at);
     }
     RC_ASSERT(made > 0);
   }));
 }
 
-TEST(Promises, WhoComesAsToldHasKeptItOnceWhoComesTooLateHasNone) {
-  Promises promises({});
+TEST(RetryReservations, WhoComesAsToldHasKeptItOnceWhoComesTooLateHasNone) {
+  RetryReservations promises({});
   const TimeUs now = 10 * kSecond;
-  const TimeUs at = *promises.Make(77, now + kSecond, now + 5 * kSecond, 5.0, 0.0, now);
+  const TimeUs at = *promises.Reserve(77, now + kSecond, now + 5 * kSecond, 5.0, 0.0, now);
   TimeUs told = 0;
-  EXPECT_EQ(promises.Look(77, at, &told), Promises::Comes::kAsTold);
-  EXPECT_EQ(promises.Look(77, at, &told), Promises::Comes::kUnpromised);
-  const TimeUs again = *promises.Make(77, now + kSecond, now + 5 * kSecond, 5.0, 0.0, now);
-  EXPECT_EQ(promises.Look(77, again + 1'000'001, &told), Promises::Comes::kUnpromised);
+  EXPECT_EQ(promises.ClassifyArrival(77, at, &told), RetryReservations::ArrivalKind::kAsTold);
+  EXPECT_EQ(promises.ClassifyArrival(77, at, &told), RetryReservations::ArrivalKind::kUnpromised);
+  const TimeUs again = *promises.Reserve(77, now + kSecond, now + 5 * kSecond, 5.0, 0.0, now);
+  EXPECT_EQ(promises.ClassifyArrival(77, again + 1'000'001, &told), RetryReservations::ArrivalKind::kUnpromised);
 }
 
 // ---- the whole, on virtual time ----
@@ -168,7 +168,7 @@
     std::uint64_t calls = 0, stood = 0, given_up = 0, told = 0, told_stood = 0;
   };
 
-  explicit Evening(const DoorSettings& settings) : door_(settings), random_(1) {}
+  explicit Evening(const AdmissionSettings& settings) : controller_(settings), random_(1) {}
   Client& Add(const std::string& name, int customer, double per_s, TimeUs from = 0) {
     clients_.push_back(std::make_unique<Client>());
     *clients_.back() = {name, customer, per_s, 1.0, from};
@@ -185,7 +185,7 @@
       const Event event = events_.top();
       events_.pop();
       now_ = event.at;
-      Carry([&](std::vector<Verdict>* verdicts) { door_.OnTime(now_, verdicts); });
+      Carry([&](std::vector<AdmissionDecision>* decisions) { controller_.OnTimer(now_, decisions); });
       event.what();
     }
   }
@@ -202,7 +202,7 @@
   void Mark() {
     for (const auto& client : clients_) client->calls = client->stood = client->told = client->told_stood = 0;
   }
-  Door& door() { return door_; }
+  AdmissionController& controller() { return controller_; }
   std::uint64_t most_waiting = 0;
   TimeUs now() const { return now_; }
 
@@ -238,26 +238,26 @@
     const CallId call = ++calls_;
     tries_[call] = {client, called, now_ + 2 * kSecond, told};
     redials_[call] = redials;
-    Carry([&](std::vector<Verdict>* verdicts) {
-      door_.OnKnock({call, name, called, customer, 1.0, 2 * kSecond}, now_, verdicts);
+    Carry([&](std::vector<AdmissionDecision>* decisions) {
+      controller_.OnRequest({call, name, called, customer, 1.0, 2 * kSecond}, now_, decisions);
     });
   }
-  void Carry(const std::function<void(std::vector<Verdict>*)>& what) {
-    std::vector<Verdict> verdicts;
-    what(&verdicts);
-    most_waiting = std::max<std::uint64_t>(most_waiting, door_.waiting());
-    for (const Verdict& verdict : verdicts) {
-      const auto found = tries_.find(verdict.call);
+  void Carry(const std::function<void(std::vector<AdmissionDecision>*)>& what) {
+    std::vector<AdmissionDecision> decisions;
+    what(&decisions);
+    most_waiting = std::max<std::uint64_t>(most_waiting, controller_.waiting());
+    for (const AdmissionDecision& decision : decisions) {
+      const auto found = tries_.find(decision.call);
       ASSERT_NE(found, tries_.end()) << "a second verdict";
       const Try one = found->second;
       ASSERT_LE(now_, one.until);
       tries_.erase(found);
-      const int redials = redials_[verdict.call];
-      redials_.erase(verdict.call);
-      if (verdict.admitted) {
+      const int redials = redials_[decision.call];
+      redials_.erase(decision.call);
+      if (decision.admitted) {
         ++in_flight_;
         const double crowd = std::max(1.0, static_cast<double>(in_flight_) / 20.0);
-        const CallId call = verdict.call;
+        const CallId call = decision.call;
         At(now_ + static_cast<TimeUs>(50'000 * crowd), [=, this] {
           --in_flight_;
           const bool in_time = now_ <= one.until;
@@ -265,11 +265,11 @@
             one.client->stood += in_time ? 1 : 0;
             one.client->told_stood += one.told && in_time ? 1 : 0;
           }
-          Carry([&](std::vector<Verdict>* more) { door_.OnAnswered(call, in_time, now_, more); });
+          Carry([&](std::vector<AdmissionDecision>* more) { controller_.OnAnswered(call, in_time, now_, more); });
         });
-      } else if (one.client != nullptr && redials > 0 && verdict.pause_us > 0) {
-        const bool as_told = one.client->comes_at >= 1.0 && verdict.promised;
-        At(now_ + static_cast<TimeUs>(static_cast<double>(verdict.pause_us) * one.client->comes_at), [=, this] {
+      } else if (one.client != nullptr && redials > 0 && decision.pause_us > 0) {
+        const bool as_told = one.client->comes_at >= 1.0 && decision.promised;
+        At(now_ + static_cast<TimeUs>(static_cast<double>(decision.pause_us) * one.client->comes_at), [=, this] {
           one.client->told += as_told ? 1 : 0;
           Dial(one.client, one.client->name, one.called, one.client->customer, redials - 1, as_told);
         });
@@ -279,7 +279,7 @@
     }
   }
 
-  Door door_;
+  AdmissionController controller_;
   std::mt19937_64 random_;
   std::priority_queue<Event> events_;
   std::vector<std::unique_ptr<Client>> clients_;
@@ -291,8 +291,8 @@
   int in_flight_ = 0;
 };
 
-DoorSettings Settings() {
-  DoorSettings settings;
+AdmissionSettings Settings() {
+  AdmissionSettings settings;
   settings.limiter.first = 20.0;
   settings.longest_pause_us = 10 * kSecond;
   settings.customers = {{}, {}};
@@ -300,27 +300,27 @@
   return settings;
 }
 
-TEST(Door, AFloodOfMadeUpIdentitiesTakesNothingFromTheQuiet) {
+TEST(AdmissionController, AFloodOfMadeUpIdentitiesTakesNothingFromTheQuiet) {
   for (const int customer : {0, 1}) {  // of another customer, and of their own
     Evening evening(Settings());
     for (int i = 0; i < 50; ++i) evening.Add("quiet " + std::to_string(i), 1, 2.0, kSecond);
     evening.Run(31 * kSecond);
     EXPECT_GT(evening.Share("quiet"), 0.99);
     evening.Mark();
-    const std::size_t bytes = evening.door().table_bytes();
+    const std::size_t bytes = evening.controller().table_bytes();
     evening.Flood(4'000.0, customer, 31 * kSecond, 56 * kSecond);  // 100,000 of them
     evening.Run(66 * kSecond);
     EXPECT_GE(evening.Share("quiet"), 0.95) << customer;
-    EXPECT_EQ(evening.door().table_bytes(), bytes);
+    EXPECT_EQ(evening.controller().table_bytes(), bytes);
     EXPECT_LE(evening.most_waiting, 1024U);
   }
 }
 
-TEST(Door, WithoutItTheSameFloodTakesAlmostAll) {
+TEST(AdmissionController, WithoutItTheSameFloodTakesAlmostAll) {
   // The guard of the test above: a queue that knows nobody.
-  DoorSettings settings = Settings();
+  AdmissionSettings settings = Settings();
   settings.clients.most = 4;  // everybody is a stranger
-  settings.promised_share = settings.strangers_share = 0.0;
+  settings.promised_share = settings.unverified_share = 0.0;
   settings.longest_pause_us = 0;
   Evening evening(settings);
   for (int i = 0; i < 50; ++i) evening.Add("quiet " + std::to_string(i), 1, 2.0, kSecond);
@@ -331,7 +331,7 @@
   EXPECT_LT(evening.Share("quiet"), 0.5);
 }
 
-TEST(Door, WhoComesAsToldGetsThroughAndWhoComesEarlyGainsNothing) {
+TEST(AdmissionController, WhoComesAsToldGetsThroughAndWhoComesEarlyGainsNothing) {
   Evening evening(Settings());
   // Twice what the network can do, all of one customer, all with the same right.
   std::vector<Evening::Client*> patient, early;
@@ -353,8 +353,8 @@
   EXPECT_GE(evening.Share("patient"), evening.Share("early"));
 }
 
-TEST(Door, SharesFollowTheWeightsAndAWeightChangedInServiceHoldsFromThen) {
-  DoorSettings settings = Settings();
+TEST(AdmissionController, SharesFollowTheWeightsAndAWeightChangedInServiceHoldsFromThen) {
+  AdmissionSettings settings = Settings();
   settings.customers = {{3.0, {}}, {1.0, {}}};
   settings.longest_pause_us = 0;  // no coming back: what is asked is what is asked
   Evening evening(settings);
@@ -372,19 +372,19 @@
   evening.Mark();
   evening.Run(40 * kSecond);
   EXPECT_NEAR(stood(first) / stood(second), 3.0, 0.45);
-  evening.door().SetCustomers({{1.0, {}}, {1.0, {}}});
+  evening.controller().SetCustomers({{1.0, {}}, {1.0, {}}});
   evening.Run(42 * kSecond);
   evening.Mark();
   evening.Run(60 * kSecond);
   EXPECT_NEAR(stood(first) / stood(second), 1.0, 0.15);
 }
 
-TEST(Door, LimitsHoldByCustomerAndByClient) {
-  DoorSettings settings = Settings();
+TEST(AdmissionController, LimitsHoldByCustomerAndByClient) {
+  AdmissionSettings settings = Settings();
   settings.customers = {{1.0, {20.0, 5.0}}, {}};
   settings.clients.limit.per_s = 5.0;
   settings.clients.limit.burst = 2.0;
-  settings.clients.prove_us = kSecond;
+  settings.clients.verify_us = kSecond;
   settings.longest_pause_us = 0;
   Evening evening(settings);
   for (int i = 0; i < 10; ++i) evening.Add("capped " + std::to_string(i), 0, 10.0, kSecond);
@@ -399,16 +399,16 @@
   EXPECT_GT(calm.calls, 20U);
 }
 
-TEST(Limiter, FindsTheCrowdThatTheNetworkBears) {
+TEST(ConcurrencyLimiter, FindsTheCrowdThatTheNetworkBears) {
   // The Evening's network: 20 at once without a queue.
-  DoorSettings settings = Settings();
+  AdmissionSettings settings = Settings();
   settings.limiter.first = 200.0;
   settings.longest_pause_us = 0;
   Evening evening(settings);
   for (int i = 0; i < 100; ++i) evening.Add("client " + std::to_string(i), 0, 20.0, kSecond);
   evening.Run(60 * kSecond);
-  EXPECT_GE(evening.door().limit(), 15U);
-  EXPECT_LE(evening.door().limit(), 60U);
+  EXPECT_GE(evening.controller().limit(), 15U);
+  EXPECT_LE(evening.controller().limit(), 60U);
 }
 
 TEST(Doors, OnTheSameEveningOnlyTheFairOneKeepsTheQuietTheirShareUnderAFlood) {
@@ -430,4 +430,4 @@
 }
 
 }  // namespace
-}  // namespace croftrun::door
+}  // namespace croftrun::admission
--- a/tests/circuit_doubt_test.cpp
+++ b/tests/circuit_doubt_test.cpp
@@ -105,7 +105,7 @@
   EXPECT_EQ(Group1().State(0), CircuitState::kSuspect);
   EXPECT_GT(gateway.Count(mgcp::Verb::kAuep, "ds/1/0"), looks);
   EXPECT_EQ(node->core().counters().suspected, 1U);
-  runtime.RunFor(core::RefusalMemory::kFirstPause);
+  runtime.RunFor(core::RefusalHistory::kInitialRest);
   EXPECT_EQ(Group1().State(0), CircuitState::kIdle);
 }
 
@@ -123,20 +123,20 @@
   EXPECT_EQ(Group1().RefusalsInARow(0), 0U);
 }
 
-TEST(RefusalMemory, PausesDoubleAndAreBounded) {
-  core::RefusalMemory memory(1);
+TEST(RefusalHistory, PausesDoubleAndAreBounded) {
+  core::RefusalHistory memory(1);
   memory.Refused(0);
-  EXPECT_EQ(memory.Pause(0), 0U);
+  EXPECT_EQ(memory.RestTime(0), 0U);
   TimeUs before = 0;
   for (int i = 0; i < 40; ++i) {
     memory.Refused(0);
-    const TimeUs pause = memory.Pause(0);
-    EXPECT_TRUE(pause == 2 * before || before == 0 || pause == core::RefusalMemory::kLongestPause);
+    const TimeUs pause = memory.RestTime(0);
+    EXPECT_TRUE(pause == 2 * before || before == 0 || pause == core::RefusalHistory::kMaxRest);
     before = pause;
   }
-  EXPECT_EQ(before, core::RefusalMemory::kLongestPause);
-  memory.Proven(0);
-  EXPECT_FALSE(memory.AtTheBack(0));
+  EXPECT_EQ(before, core::RefusalHistory::kMaxRest);
+  memory.ConfirmWorking(0);
+  EXPECT_FALSE(memory.IsDeprioritized(0));
 }
 
 TEST(CircuitChoice, NoCircuitIsRefusedTwiceRunningWhileAnotherIsIdle) {
@@ -156,7 +156,7 @@
         group.Refused(circuit);
         before = circuit;
       } else {
-        group.Proven(circuit);
+        group.ConfirmWorking(circuit);
         before = -1;
       }
       group.Release(circuit, 1);
@@ -164,7 +164,7 @@
       RC_ASSERT(group.State(circuit) ==
                 (group.RefusalsInARow(circuit) >= 2 ? CircuitState::kSuspect : CircuitState::kIdle));
       if (group.Count(CircuitState::kIdle) == 0) {
-        for (core::CircuitNumber c = 0; c < 6; ++c) group.Rested(c);
+        for (core::CircuitNumber c = 0; c < 6; ++c) group.EndRest(c);
       }
     }
   });
@@ -172,7 +172,7 @@
 
 // ---- strangers ----
 
-class Stranger final : public core::DatagramSink {
+class Stranger final : public core::DatagramHandler {
  public:
   Stranger(sim::VirtualRuntime* runtime, std::uint32_t host) : port_(runtime->OpenPort({host, 2427}, this)) {}
   void OnDatagram(const core::Address&, std::string_view bytes) override { heard.emplace_back(bytes); }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -91,19 +91,19 @@
   EXPECT_EQ(call.destination, 2);
   EXPECT_EQ(call.width, 4.0);
   EXPECT_EQ(call.via, -1);
-  EXPECT_TRUE(call.redialled);
+  EXPECT_TRUE(call.is_redial);
   EXPECT_TRUE(call.in_transit);
-  EXPECT_FALSE(call.cut_before);
+  EXPECT_FALSE(call.previously_cut);
 }
 
 TEST(Codec, Ended) {
   const auto ended = OneEvent<AttemptEnded>(kEnded);
   EXPECT_EQ(ended.call, 17U);
   EXPECT_EQ(ended.exchange, 9U);
-  EXPECT_EQ(ended.cause, Cause::kTurnedBackFull);
+  EXPECT_EQ(ended.cause, RejectCause::kCrankbackProcessorFull);
   EXPECT_EQ(ended.attempt, 2);
   EXPECT_EQ(ended.elapsed_us, 18500U);
-  EXPECT_EQ(ended.outcome, Outcome::kFull);
+  EXPECT_EQ(ended.outcome, Outcome::kRejected);
   EXPECT_FALSE(ended.terminal);
   EXPECT_EQ(ended.report, (std::vector<float>{1.0F, 2.0F}));
 }
@@ -111,15 +111,15 @@
 TEST(Codec, EndedStatesAWait) {
   // 3 + 16 x 250 ms = 4003 = 0x0fa3
   const auto ended = OneEvent<AttemptEnded>("18 03000000 11000000 09000000 a30f0000 0000 44480000 ad01 00 00");
-  EXPECT_EQ(ended.cause, Cause::kProcessorFull);
+  EXPECT_EQ(ended.cause, RejectCause::kProcessorFull);
   EXPECT_EQ(ended.wait_us, 250'000U);
 }
 
 TEST(Codec, OtherEvents) {
-  EXPECT_EQ(OneEvent<CallStands>(kFirst).elapsed_us, 1000U);
-  EXPECT_EQ(OneEvent<TimerDue>(kElapsed).token, 0x4dU);
-  EXPECT_EQ(OneEvent<ReportHeard>(kEcho).report, (std::vector<float>{3.0F, 5.0F}));
-  EXPECT_EQ(OneEvent<CallerGone>(kGone).call, 0x0e6f2b19U);
+  EXPECT_EQ(OneEvent<CallEstablished>(kFirst).elapsed_us, 1000U);
+  EXPECT_EQ(OneEvent<TimerExpired>(kElapsed).token, 0x4dU);
+  EXPECT_EQ(OneEvent<LoadReportReceived>(kEcho).report, (std::vector<float>{3.0F, 5.0F}));
+  EXPECT_EQ(OneEvent<CallAbandoned>(kGone).call, 0x0e6f2b19U);
   DirectoryLists lists;
   EXPECT_TRUE(std::holds_alternative<Detach>(One(kDetach, &lists).body));
   EXPECT_TRUE(std::holds_alternative<Ignored>(One(kHeard, &lists).body));
@@ -175,9 +175,9 @@
 
 TEST(Codec, Reply) {
   ReplyWriter writer;
-  writer.Add(3, Send{0x5d3a91c4, 0x03124a07, 80000});
+  writer.Add(3, SendSetUp{0x5d3a91c4, 0x03124a07, 80000});
   writer.Add(3, SetTimer{500000, 0x4d});
-  writer.Add(5, Log{"two servers known"});
+  writer.Add(5, WriteLog{"two servers known"});
   EXPECT_EQ(writer.Finish(12), Bytes("0c000000 03000000 3a000000"
                                      "15 03000000 c4913a5d 80380100 074a1203"
                                      "17 03000000 20a10700 4d00000000000000"
@@ -187,12 +187,12 @@
 
 TEST(Codec, ReplyOfEveryOtherAction) {
   ReplyWriter writer;
-  writer.Add(1, Cancel{2, 3});
-  writer.Add(1, Probe{4});
-  writer.Add(1, Refuse{2, 5});
-  writer.Add(1, Fail{2});
+  writer.Add(1, CancelSetUp{2, 3});
+  writer.Add(1, SendProbe{4});
+  writer.Add(1, RefuseCall{2, 5});
+  writer.Add(1, FailCall{2});
   writer.Add(1, FetchDirectory{});
-  writer.Add(1, Subscribe{true});
+  writer.Add(1, SubscribeDirectory{true});
   writer.AddBailOut(1, "no");
   EXPECT_EQ(writer.Finish(0), Bytes("00000000 07000000 3e000000"
                                     "12 01000000 02000000 0300"
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -81,11 +81,11 @@
     const CallId call = b.Offer(1);
     const int first = b.SentTo();
     ASSERT_GT(first, 1);
-    b.End(call, first, Outcome::kFull, Cause::kTurnedBack);
+    b.End(call, first, Outcome::kRejected, RejectCause::kCrankback);
     const int second = b.SentTo();
     if (second < 0) continue;  // overflow is being thinned
     EXPECT_EQ(second, 5 - first);
-    b.End(call, second, Outcome::kFull, Cause::kTurnedBack, 1);
+    b.End(call, second, Outcome::kRejected, RejectCause::kCrankback, 1);
     EXPECT_EQ(b.SentTo(), -1);
     return;
   }
@@ -108,7 +108,7 @@
 TEST(Rules, TransitThatFailsOnwardIsTurnedBackAtOnce) {
   Bench b;
   const CallId call = b.Transit(1);
-  b.End(call, 1, Outcome::kFull, Cause::kProcessorFull);
+  b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
   EXPECT_TRUE(b.Refused());
   EXPECT_EQ(b.SentTo(), -1);
 }
@@ -147,10 +147,10 @@
   EXPECT_EQ(b.SentTo(), -1);
   b.now += 299 * kMs;
   b.Circuits(1, 6.0F);
-  b.Do(TimerDue{call});
+  b.Do(TimerExpired{call});
   EXPECT_EQ(b.SentTo(), -1);
   b.now += 1 * kMs;
-  b.Do(TimerDue{call});
+  b.Do(TimerExpired{call});
   EXPECT_EQ(b.SentTo(), 1);
 }
 
@@ -160,7 +160,7 @@
   b.now += 3000 * kMs;
   b.End(call, 1, Outcome::kTimeout);
   EXPECT_TRUE(b.Failed());
-  b.Do(CallerGone{call});
+  b.Do(CallAbandoned{call});
   EXPECT_TRUE(b.actions.empty());
 }
 
@@ -177,7 +177,7 @@
 
 TEST(Rules, ARefusalOfAtMostOnceNeedsProof) {
   Settings s = PlainSettings();
-  s.classes[0].repeat = Repeat::kAtMostOnce;
+  s.classes[0].retry_semantics = RetrySemantics::kAtMostOnce;
   Bench b(s);
   const CallId call = b.Offer(1);
   b.End(call, 1, Outcome::kError);
@@ -206,7 +206,7 @@
 TEST(Rules, AColdExchangeIsNotPushedOverByAHundredSenders) {
   constexpr int kSenders = 100;
   Settings s = PlainSettings();
-  s.senders = kSenders;
+  s.softswitch_count = kSenders;
   constexpr double kUsualPerSender = 0.2;  // to each exchange, a second
   std::vector<Bench> senders;
   for (std::uint64_t i = 0; i < kSenders; ++i) senders.emplace_back(s, i + 1);
@@ -235,7 +235,8 @@
   int all = 0;
   for (int second = 0; second < 4; ++second) {
     all += in_second[static_cast<std::size_t>(second)];
-    EXPECT_LT(in_second[static_cast<std::size_t>(second)], s.fall_multiple * s.cold_from * usual) << second;
+    EXPECT_LT(in_second[static_cast<std::size_t>(second)], s.collapse_multiple * s.warm_up_start_share * usual)
+        << second;
   }
   EXPECT_GT(all, 0);
 }
@@ -250,7 +251,7 @@
 TEST_P(ColdFleet, TheSumOfAllSendersStaysUnderWhatItFallsOverAt) {
   const auto [senders, skewed, late] = GetParam();
   Settings s = PlainSettings();
-  s.senders = senders;
+  s.softswitch_count = senders;
   constexpr double kUsual = 10.0;  // set-ups a second to one exchange, from all
   constexpr TimeUs kStep = 10 * kMs;
   std::vector<Bench> fleet;
@@ -296,10 +297,10 @@
   }
   ASSERT_FALSE(sent.empty());
   for (std::size_t first = 0, last = 0; last < sent.size(); ++last) {
-    while (sent[last] - sent[first] >= s.fall_us) ++first;
+    while (sent[last] - sent[first] >= s.collapse_time_us) ++first;
     const double age = static_cast<double>(sent[first] - started) / static_cast<double>(s.warm_up_us);
-    const double warmth = std::min(1.0, s.cold_from + (1.0 - s.cold_from) * age);
-    const double n = s.fall_multiple * warmth * kUsual * static_cast<double>(s.fall_us) / 1e6;
+    const double warmth = std::min(1.0, s.warm_up_start_share + (1.0 - s.warm_up_start_share) * age);
+    const double n = s.collapse_multiple * warmth * kUsual * static_cast<double>(s.collapse_time_us) / 1e6;
     EXPECT_LE(static_cast<double>(last - first + 1), n + 2.0 * std::sqrt(n) + 2.0) << "at " << sent[last] - started;
   }
 }
@@ -316,7 +317,7 @@
     b.now += 10 * kMs;
     if (b.SentTo() == 1) {
       ++sent;
-      b.End(id, 1, Outcome::kError, Cause::kLinesBusy);
+      b.End(id, 1, Outcome::kError, RejectCause::kLinesBusy);
     }
   }
   EXPECT_GE(sent, 3);
@@ -331,7 +332,7 @@
   b.now += 400 * kMs;
   b.Circuits(1, 1.0F);
   ASSERT_EQ(b.SentTo(), 1);
-  EXPECT_EQ(b.First<Send>()->call, call);
+  EXPECT_EQ(b.First<SendSetUp>()->call, call);
 }
 
 TEST(Failures, AHeldCallIsRefusedWhenItWouldStandLate) {
@@ -342,7 +343,7 @@
   ASSERT_NE(timer, nullptr);
   EXPECT_LT(timer->delay_us, 1500 * kMs);
   b.now += timer->delay_us;
-  b.Do(TimerDue{call});
+  b.Do(TimerExpired{call});
   EXPECT_TRUE(b.Refused());
 }
 
@@ -359,7 +360,7 @@
   const TimeUs due = b.now + timer->delay_us;
   b.Stands(slow, 1, 10 * kMs);
   b.now = due;
-  b.Do(TimerDue{call});
+  b.Do(TimerExpired{call});
   EXPECT_TRUE(b.Refused());
 }
 
@@ -376,8 +377,8 @@
   b.Offer(1, 1.0, 0);
   const CallId dear = b.Offer(1, 1.0, 1);
   b.Circuits(1, 1.0F);
-  ASSERT_NE(b.First<Send>(), nullptr);
-  EXPECT_EQ(b.First<Send>()->call, dear);
+  ASSERT_NE(b.First<SendSetUp>(), nullptr);
+  EXPECT_EQ(b.First<SendSetUp>()->call, dear);
 }
 
 TEST(Failures, OverflowThatIsTurnedBackIsThinned) {
@@ -390,7 +391,7 @@
     const CallId call = b.Offer(1);
     for (int attempt = 0; b.SentTo() > 1; ++attempt) {
       ++overflowed;
-      b.End(call, b.SentTo(), Outcome::kFull, Cause::kTurnedBack, attempt);
+      b.End(call, b.SentTo(), Outcome::kRejected, RejectCause::kCrankback, attempt);
     }
     b.now += 20 * kMs;
   }
@@ -416,8 +417,8 @@
       at_last += b.SentTo() > 1 ? 1 : 0;
     }
     for (int attempt = 0; b.SentTo() > 1; ++attempt)
-      b.End(call, b.SentTo(), Outcome::kFull, Cause::kTurnedBack, attempt);
-    b.Do(CallerGone{call});
+      b.End(call, b.SentTo(), Outcome::kRejected, RejectCause::kCrankback, attempt);
+    b.Do(CallAbandoned{call});
   }
   EXPECT_GT(at_first, 0);
   EXPECT_GT(held, 30);
@@ -441,7 +442,7 @@
     if (tandem > 1) {
       b.Stands(call, tandem, 100 * kMs);
     } else {
-      b.Do(CallerGone{call});  // held for a circuit until then
+      b.Do(CallAbandoned{call});  // held for a circuit until then
     }
     return tandem > 1;
   };
@@ -484,7 +485,7 @@
       const int tandem = b.SentTo();
       ASSERT_GT(tandem, 1);
       if (turned_back && i % 2 == 0) {
-        b.End(call, tandem, Outcome::kFull, Cause::kTurnedBack);
+        b.End(call, tandem, Outcome::kRejected, RejectCause::kCrankback);
         if (b.SentTo() > 1) b.Stands(call, b.SentTo(), 100 * kMs, 1);
       } else {
         b.Stands(call, tandem, 100 * kMs);
@@ -567,7 +568,7 @@
   const CallId call = b.Offer(1);
   const int tandem = b.SentTo();
   ASSERT_GT(tandem, 1);
-  b.End(call, tandem, Outcome::kReset, Cause::kNone, 0, {}, 100 * kMs);
+  b.End(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
   EXPECT_FALSE(b.Failed());
   b.now += 10 * kMs;
   b.Status(1, ExchangeStatus::kGone);
@@ -576,13 +577,13 @@
 
 TEST(AtOnce, NoReleaseWaitAfterTheLastAttempt) {
   Settings s = PlainSettings();
-  s.most_attempts = 1;
+  s.max_attempts = 1;
   Bench b(s);
   b.Circuits(1, 0.0F);
   const CallId call = b.Offer(1);
   const int tandem = b.SentTo();
   ASSERT_GT(tandem, 1);
-  b.End(call, tandem, Outcome::kReset, Cause::kNone, 0, {}, 100 * kMs);
+  b.End(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
   EXPECT_TRUE(b.Failed());
 }
 
@@ -590,13 +591,13 @@
 TEST(AtOnce, ACallRefusedForWantOfRoomIsToldAPause) {
   for (const bool honours : {false, true}) {
     Settings s = PlainSettings();
-    s.honours_pause = honours;
-    s.longest_pause_us = 2000 * kMs;
+    s.honours_retry_after = honours;
+    s.max_retry_after_us = 2000 * kMs;
     Bench b(s);
     const CallId call = b.Offer(1);
-    b.End(call, 1, Outcome::kFull, Cause::kProcessorFull);
+    b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
     ASSERT_TRUE(b.Refused());
-    EXPECT_EQ(b.First<Refuse>()->pause_us, honours ? 2000 * kMs : 0);
+    EXPECT_EQ(b.First<RefuseCall>()->retry_after_us, honours ? 2000 * kMs : 0);
   }
 }
 
@@ -606,7 +607,7 @@
   b.Status(3, ExchangeStatus::kGone);
   const CallId call = b.Offer(1);
   ASSERT_EQ(b.SentTo(), 2);
-  b.End(call, 2, Outcome::kReset, Cause::kNone, 0, {}, 100 * kMs);
+  b.End(call, 2, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
   EXPECT_TRUE(b.Failed());
 }
 
@@ -617,7 +618,7 @@
   const CallId call = b.Offer(1, 1.0, 1);
   const int tandem = b.SentTo();
   ASSERT_GT(tandem, 1);
-  b.End(call, tandem, Outcome::kReset, Cause::kNone, 0, {}, 100 * kMs);
+  b.End(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
   ASSERT_FALSE(b.Failed());
   b.Circuits(1, 1.0F);
   b.Offer(1);
@@ -655,7 +656,7 @@
 // Report 8a95fc: set-ups went on to a vanished exchange until each had timed out.
 TEST(Failures, NoSetUpGoesToAnExchangeOutOfReachForARestAndNothingElseIsHeldAgainstIt) {
   Bench b;
-  b.Do(ReportHeard{.exchange = Bench::Id(1), .outcome = Outcome::kConnectFailed, .elapsed_us = 1});
+  b.Do(LoadReportReceived{.exchange = Bench::Id(1), .outcome = Outcome::kConnectFailed, .elapsed_us = 1});
   for (int i = 0; i < 9; ++i) {
     b.now += 100 * kMs;
     b.Offer(1);
@@ -676,7 +677,7 @@
 TEST(Failures, AConnectionThatBrokeBeforeItWasOpenIsNoDeathOfTheExchangeWhereOthersAreOpen) {
   Bench b;
   const CallId call = b.Offer(1);
-  b.End(call, 1, Outcome::kConnectFailed, Cause::kConnectionLost);
+  b.End(call, 1, Outcome::kConnectFailed, RejectCause::kConnectionLost);
   EXPECT_EQ(b.SentTo(), 1);  // it never left: the same call goes there at once
   for (int i = 0; i < 5; ++i) {
     b.Offer(1);
@@ -711,7 +712,7 @@
     const CallId call = b.Offer(1);
     b.now += 1000 * kMs;
     if (b.SentTo() == 1) b.End(call, 1, Outcome::kTimeout);
-    lines += b.First<Log>() != nullptr ? 1 : 0;
+    lines += b.First<WriteLog>() != nullptr ? 1 : 0;
   }
   EXPECT_EQ(lines, 1);
 }
@@ -719,7 +720,7 @@
 TEST(Failures, AFullProcessorIsBackedOff) {
   Bench b;
   const CallId call = b.Offer(1);
-  b.End(call, 1, Outcome::kFull, Cause::kProcessorFull);
+  b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
   b.Offer(1);
   EXPECT_EQ(b.SentTo(), -1);
 }
@@ -727,7 +728,7 @@
 // A jammed processor loses set-up after set-up; each sender sees few of them and kept on sending.
 TEST(Failures, LossesInARowLengthenTheRest) {
   Settings s = PlainSettings();
-  s.senders = 100;
+  s.softswitch_count = 100;
   Bench b(s);
   std::vector<TimeUs> sent_at;
   for (int i = 0; i < 300; ++i) {
@@ -735,7 +736,7 @@
     const CallId call = b.Offer(1);
     if (b.SentTo() == 1) {
       sent_at.push_back(b.now);
-      b.End(call, 1, Outcome::kFull, Cause::kProcessorFull);
+      b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
     }
   }
   ASSERT_GE(sent_at.size(), 3U);
@@ -829,7 +830,7 @@
       call = b.Offer(1);
     } while (b.SentTo() < 0);
     const int back = b.SentTo();
-    b.End(call, back, Outcome::kFull, Cause::kTurnedBack);
+    b.End(call, back, Outcome::kRejected, RejectCause::kCrankback);
     if (b.SentTo() < 0) continue;  // thinned
     const int through = b.SentTo();
     ASSERT_EQ(through, 5 - back);
@@ -862,7 +863,7 @@
     if (stands) {
       b.Stands(call, tandem, 50 * kMs);
     } else {
-      b.End(call, tandem, Outcome::kFull, Cause::kTurnedBack);
+      b.End(call, tandem, Outcome::kRejected, RejectCause::kCrankback);
     }
   };
   for (int i = 0; i < 3; ++i) over(9, 2, true);
@@ -934,7 +935,7 @@
   Bench b;
   for (int i = 0; i < 5; ++i) {
     const CallId call = b.Offer(1);
-    if (b.SentTo() == 1) b.End(call, 1, Outcome::kTimeout, Cause::kNone, 0, {}, 100 * kMs);
+    if (b.SentTo() == 1) b.End(call, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 100 * kMs);
   }
   int sent = 0;
   for (int i = 0; i < 10; ++i) {
@@ -951,7 +952,7 @@
   CallOffered offer{.call = 900, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1};
   b.Do(offer);
   EXPECT_FALSE(b.Refused());
-  b.Do(CallerGone{900});
+  b.Do(CallAbandoned{900});
   b.now += 1400 * kMs;
   b.Circuits(2, 20.0F);
   b.now += 10 * kMs;
@@ -966,7 +967,7 @@
   Bench b(s);
   for (int i = 0; i < 12; ++i) {
     const CallId call = b.Offer(1 + i % 3);
-    if (b.SentTo() > 0) b.End(call, 1 + i % 3, Outcome::kTimeout, Cause::kNone, 0, {}, 1500 * kMs);
+    if (b.SentTo() > 0) b.End(call, 1 + i % 3, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
   }
   // A new exchange that nothing is known of.
   DirectoryUpdate delta{.kind = DirectoryKind::kDelta};
@@ -977,7 +978,7 @@
     const CallId call = b.Offer(9);
     if (b.SentTo() == 9) {
       ++sent;
-      b.Do(CallerGone{call});
+      b.Do(CallAbandoned{call});
     }
   }
   EXPECT_LT(sent, 15);
@@ -987,7 +988,7 @@
 TEST(Failures, TrialsAreFewerWithMoreSenders) {
   const auto trials = [](int senders) {
     Settings s = PlainSettings();
-    s.senders = senders;
+    s.softswitch_count = senders;
     Bench b(s);
     int sent = 0;
     for (int i = 0; i < 600; ++i) {
@@ -996,7 +997,7 @@
       b.Do(CallOffered{.call = id, .number_called = 5000 + id, .budget_us = 50 * kMs, .destination = 1});
       if (b.SentTo() != 1) continue;
       ++sent;
-      b.End(id, 1, Outcome::kTimeout, Cause::kNone, 0, {}, 1500 * kMs);
+      b.End(id, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
     }
     return sent;
   };
@@ -1043,8 +1044,8 @@
 // 'allowed' is for all senders together; read as a sender's own share it cut calm exchanges.
 TEST(Failures, ADipOfTheAllowedRateCutsAndItsSizeDoesNot) {
   Settings s = PlainSettings();
-  s.senders = 80;
-  s.report_fields[3] = ReportField::kAllowed;
+  s.softswitch_count = 80;
+  s.report_fields[3] = ReportField::kAllowedRate;
   Bench b(s);
   const auto sent_of_40 = [&b] {
     int sent = 0;
@@ -1068,8 +1069,8 @@
   b.End(12345, 1, Outcome::kOk);
   b.End(12345, 50, Outcome::kTimeout);
   b.Stands(12345, 50, 5);
-  b.Do(CallerGone{12345});
-  b.Do(TimerDue{12345});
+  b.Do(CallAbandoned{12345});
+  b.Do(TimerExpired{12345});
   EXPECT_TRUE(b.actions.empty());
   b.Offer(77);
   EXPECT_TRUE(b.Refused());
@@ -1077,7 +1078,7 @@
 
 TEST(Pools, ACallGoesOnlyToAPoolOfItsClass) {
   Settings s = PlainSettings();
-  s.shape = Shape::kGroups;
+  s.topology = Topology::kGroups;
   s.own_number = -1;
   s.classes[0].pools = {1, 3};
   Bench b(s);
@@ -1093,15 +1094,15 @@
 
 TEST(Discovery, AFailedSubscriptionIsRepeated) {
   Settings s = PlainSettings();
-  s.discovery = Discovery::kSubscribe;
+  s.discovery_mode = DiscoveryMode::kSubscribe;
   Bench b(s);
   b.Do(DirectoryUpdate{.kind = DirectoryKind::kFailed});
   const auto* timer = b.First<SetTimer>();
   ASSERT_NE(timer, nullptr);
   b.now += timer->delay_us;
   const auto token = timer->token;
-  b.Do(TimerDue{token});
-  EXPECT_NE(b.First<Subscribe>(), nullptr);
+  b.Do(TimerExpired{token});
+  EXPECT_NE(b.First<SubscribeDirectory>(), nullptr);
 }
 
 // Guards FailsNowAndThen: an ailing exchange fails three set-ups in five.
@@ -1110,10 +1111,10 @@
   for (int i = 0; i < 5; ++i) b.Complete(1, 0.0F, 0.0F);
   const CallId call = b.Offer(1);
   b.now += 40 * kMs;
-  b.End(call, 1, Outcome::kError, Cause::kNone, 0, {}, 40 * kMs);
+  b.End(call, 1, Outcome::kError, RejectCause::kNone, 0, {}, 40 * kMs);
   EXPECT_EQ(b.SentTo(), 1);
   b.now += 40 * kMs;
-  b.End(call, 1, Outcome::kError, Cause::kNone, 1, {}, 40 * kMs);
+  b.End(call, 1, Outcome::kError, RejectCause::kNone, 1, {}, 40 * kMs);
   EXPECT_EQ(b.SentTo(), 1);
 }
 
@@ -1126,7 +1127,7 @@
     int attempt = 0;
     while (b.SentTo() == 1) {
       b.now += 40 * kMs;
-      b.End(call, 1, Outcome::kError, Cause::kNone, attempt++, {}, 40 * kMs);
+      b.End(call, 1, Outcome::kError, RejectCause::kNone, attempt++, {}, 40 * kMs);
     }
     EXPECT_TRUE(b.Failed() || b.Refused());
     if (i >= 10) repeated += std::max(0, attempt - 1);
@@ -1139,26 +1140,26 @@
   b.Complete(1, 0.0F, 0.0F);
   const CallId call = b.Offer(1);
   b.now += 40 * kMs;
-  b.End(call, 1, Outcome::kReset, Cause::kNone, 0, {}, 40 * kMs);
+  b.End(call, 1, Outcome::kReset, RejectCause::kNone, 0, {}, 40 * kMs);
   EXPECT_TRUE(b.actions.size() == 1 && b.First<SetTimer>() != nullptr);
   b.now += 299 * kMs;
-  b.Do(TimerDue{call});
+  b.Do(TimerExpired{call});
   EXPECT_EQ(b.SentTo(), -1);
   b.now += 1 * kMs;
-  b.Do(TimerDue{call});
+  b.Do(TimerExpired{call});
   EXPECT_EQ(b.SentTo(), 1);
 }
 
 TEST(Errors, WhatMayNotBeRepeatedOrMetABusyNumberIsAnsweredAtOnce) {
   Settings s = PlainSettings();
-  s.classes[0].repeat = Repeat::kAtMostOnce;
+  s.classes[0].retry_semantics = RetrySemantics::kAtMostOnce;
   Bench once(s);
   once.Complete(1, 0.0F, 0.0F);
   once.End(once.Offer(1), 1, Outcome::kError);
   EXPECT_TRUE(once.Failed());
   Bench busy;
   busy.Complete(1, 0.0F, 0.0F);
-  busy.End(busy.Offer(1), 1, Outcome::kError, Cause::kLinesBusy);
+  busy.End(busy.Offer(1), 1, Outcome::kError, RejectCause::kLinesBusy);
   EXPECT_TRUE(busy.Failed());
 }
 
@@ -1176,7 +1177,7 @@
     b.Stands(call, 1, 50 * kMs);
   }
   b.now += 100 * kMs;
-  b.End(lost, 1, Outcome::kTimeout, Cause::kNone, 0, {}, 1500 * kMs);
+  b.End(lost, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
   b.Offer(1);
   EXPECT_EQ(b.SentTo(), 1);
 }
--- a/tests/core_parts_test.cpp
+++ b/tests/core_parts_test.cpp
@@ -3,7 +3,7 @@
 
 #include "core/circuits.h"
 #include "core/number_plan.h"
-#include "core/overload.h"
+#include "core/overload_control.h"
 #include "core/roster.h"
 #include "core/runtime.h"
 #include "edge/edge_settings.h"
@@ -57,8 +57,8 @@
       const Holder holder = static_cast<Holder>(step / 64 % 3 + 1);
       std::vector<CircuitNumber> taken;
       if (step % 11 == 0) group.Refused(circuit);
-      if (step % 13 == 0) group.Proven(circuit);
-      if (step % 7 == 0) group.Rested(circuit);
+      if (step % 13 == 0) group.ConfirmWorking(circuit);
+      if (step % 7 == 0) group.EndRest(circuit);
       switch (step % 8) {
         case 0:
           group.Seize(step / 64 % 4, holder, &taken);
@@ -103,7 +103,7 @@
   update.version = 1;
   update.entries.push_back({.exchange = 5, .number = 1, .incarnation = 2, .age_us = 12'500'000});
   DirectoryUpdate directory;
-  ASSERT_EQ(view.Apply(1'200'000, update, &directory), RosterView::Verdict::kApplied);
+  ASSERT_EQ(view.Apply(1'200'000, update, &directory), RosterView::UpdateResult::kApplied);
   EXPECT_EQ(directory.entries.at(0).since_us, 0U);  // 1 would make it cold for all of the warm-up from now on
 }
 
@@ -146,17 +146,17 @@
 TEST(Roster, OldOvertakenAndGappedUpdatesAreTold) {
   RosterView view;
   DirectoryUpdate directory;
-  using V = RosterView::Verdict;
+  using V = RosterView::UpdateResult;
   const RosterEntry ready{.exchange = 5, .number = 1};
   EXPECT_EQ(view.Apply(100, {.version = 3, .base = {}, .entries = {ready}}, &directory), V::kApplied);
   EXPECT_EQ(directory.kind, DirectoryKind::kFull);
-  EXPECT_EQ(view.Apply(200, {.version = 3, .base = {}, .entries = {ready}}, &directory), V::kOld);
+  EXPECT_EQ(view.Apply(200, {.version = 3, .base = {}, .entries = {ready}}, &directory), V::kStale);
   EXPECT_EQ(view.Apply(200, {.version = 5, .base = 4, .entries = {ready}}, &directory), V::kGap);
   EXPECT_EQ(view.version(), 3U);
   EXPECT_EQ(view.Apply(200, {.version = 4, .base = 3, .entries = {ready}}, &directory), V::kApplied);
   EXPECT_EQ(directory.kind, DirectoryKind::kDelta);
   EXPECT_EQ(view.Apply(200, {.version = 9, .base = {}, .entries = std::vector<RosterEntry>(5000)}, &directory),
-            V::kTooMany);
+            V::kTooManyEntries);
 }
 
 TEST(Roster, AStartIsWorkedOutOnceAndADrainIsKeptWhateverTheIncarnation) {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -249,7 +249,7 @@
 
 TEST_F(CrossingsTest, AnExchangeThatComesBackAtItsAddressIsUsedAgain) {
   Tell(2, {TargetJson(1, "Ready", "s-new")});
-  const std::int64_t later = runtime_.WallUs() / 1000 + 1'000;
+  const std::int64_t later = runtime_.WallClockUs() / 1000 + 1'000;
   Tell(3, {TargetJson(1, "Gone", "s-new")});
   Tell(4, {TargetJson(1, "Ready", "s-1", later)});
   runtime_.RunFor(5 * kMs);
@@ -311,10 +311,10 @@
 
 // ---- the core and a caller who has left, though the word of it is still to come ----
 
-struct Leaver final : core::Subscriber {
-  void OnFinal(CallId, const core::FinalAnswer&) override { ++finals; }
-  void OnEnded(CallId, core::ReleaseCause) override {}
-  bool Left(CallId) const override { return left; }
+struct Leaver final : core::CallOwner {
+  void OnFinalAnswer(CallId, const core::FinalAnswer&) override { ++finals; }
+  void OnCallEnded(CallId, core::ReleaseCause) override {}
+  bool HasLeft(CallId) const override { return left; }
   bool left = false;
   int finals = 0;
 };
@@ -324,7 +324,7 @@
   void Release(const core::CircuitSet&, const core::ReleaseInfo&) override { ++released; }
   void Answer(const core::CircuitSet&, std::string_view) override {}
   void Connect(const core::CircuitSet&, std::string_view) override {}
-  void Probe(int) override {}
+  void ProbeGroup(int) override {}
   std::vector<int> sent;
   int released = 0;
 };
@@ -338,20 +338,20 @@
   std::vector<config::Mistake> mistakes;
   core::CoreSettings settings;
   settings.module = ParseNodeConfig(ConfigJson().dump(), "", "", &mistakes).module;
-  settings.network_counts = true;
+  settings.network_manages_circuits = true;
   core::CallCore core(settings, &runtime, &log);
   Trunks trunks;
   core.SetTrunks(&trunks);
   DirectoryUpdate list;
   list.entries = {{.exchange = 1, .number = 0}, {.exchange = 2, .number = 1}};
   core.OnDirectory(list);
-  core.OnGauge(2, {20.0F, 20.0F});
+  core.OnGroupReport(2, {20.0F, 20.0F});
   Leaver caller;
-  core::Offer offer;
+  core::CallRequest offer;
   offer.destination = 1;
-  offer.patience_us = 3'000 * kMs;
+  offer.caller_timeout_us = 3'000 * kMs;
   caller.left = before_sending;
-  const CallId call = core.Take(offer, &caller);
+  const CallId call = core.AcceptCall(offer, &caller);
   caller.left = true;
   if (!before_sending) core.OnTrunkAnswered(call, 0);
   EXPECT_EQ(trunks.sent.size(), before_sending ? 0U : 1U);
@@ -360,7 +360,7 @@
   EXPECT_EQ(core.open_calls(), 0U);
   // The module was told of every end: the next call of another goes out as ever.
   Leaver other;
-  core.Take(offer, &other);
+  core.AcceptCall(offer, &other);
   EXPECT_EQ(trunks.sent.size(), before_sending ? 1U : 2U);
 }
 
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -8,13 +8,13 @@
 int main() {
   croftrun::Settings settings;
   settings.own_number = 0;
-  settings.senders = 2;
-  settings.most_attempts = 4;
+  settings.softswitch_count = 2;
+  settings.max_attempts = 4;
   croftrun::CallClass plain;
-  plain.aim_us = 1'500'000;
+  plain.target_delay_us = 1'500'000;
   plain.deadline_us = 9'000'000;
   settings.classes = {plain};
-  settings.report_fields = {croftrun::ReportField::kSpare, croftrun::ReportField::kTotal};
+  settings.report_fields = {croftrun::ReportField::kFreeCircuits, croftrun::ReportField::kTotalCircuits};
 
   std::vector<croftrun::Action> actions;
   croftrun::CallController controller(settings, /*seed=*/1, /*now=*/0, &actions);
@@ -23,11 +23,11 @@
   list.entries.push_back({.exchange = 700, .number = 0});
   list.entries.push_back({.exchange = 701, .number = 1});
   controller.Handle(0, list, &actions);
-  controller.Handle(10, croftrun::ReportHeard{.exchange = 701, .report = {12.0F, 30.0F}}, &actions);
+  controller.Handle(10, croftrun::LoadReportReceived{.exchange = 701, .report = {12.0F, 30.0F}}, &actions);
   controller.Handle(20, croftrun::CallOffered{.call = 5, .budget_us = 3'000'000, .destination = 1}, &actions);
 
   for (const croftrun::Action& action : actions) {
-    if (const auto* send = std::get_if<croftrun::Send>(&action)) {
+    if (const auto* send = std::get_if<croftrun::SendSetUp>(&action)) {
       std::cout << "call " << send->call << " goes to exchange " << send->exchange << '\n';
       return 0;
     }
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -17,19 +17,20 @@
 inline Settings PlainSettings() {
   Settings s;
   s.own_number = 0;
-  s.senders = 4;
-  s.most_attempts = 4;
-  s.release_us = 300 * kMs;
-  s.cold_from = 0.36;
+  s.softswitch_count = 4;
+  s.max_attempts = 4;
+  s.resend_guard_us = 300 * kMs;
+  s.warm_up_start_share = 0.36;
   s.warm_up_us = 15000 * kMs;
-  s.fall_multiple = 3.0;
-  s.fall_us = 1000 * kMs;
+  s.collapse_multiple = 3.0;
+  s.collapse_time_us = 1000 * kMs;
   CallClass c;
-  c.aim_us = 1500 * kMs;
+  c.target_delay_us = 1500 * kMs;
   c.deadline_us = 9000 * kMs;
   c.holding_us = 10000 * kMs;
   s.classes = {c};
-  s.report_fields = {ReportField::kSpare, ReportField::kTotal, ReportField::kPending, ReportField::kCutBy};
+  s.report_fields = {ReportField::kFreeCircuits, ReportField::kTotalCircuits, ReportField::kPendingSetUps,
+                     ReportField::kLoadReduction};
   return s;
 }
 
@@ -52,7 +53,7 @@
     controller_.Handle(now, event, &actions);
   }
   void Circuits(int number, float spare, float total = 20.0F) {
-    Do(ReportHeard{.exchange = Id(number), .report = {spare, total, -1.0F, -1.0F}});
+    Do(LoadReportReceived{.exchange = Id(number), .report = {spare, total, -1.0F, -1.0F}});
   }
   void Status(int number, ExchangeStatus status, TimeUs since = 0) {
     DirectoryUpdate delta{.kind = DirectoryKind::kDelta};
@@ -76,9 +77,9 @@
     return id;
   }
   void Stands(CallId call, int number, TimeUs elapsed, int attempt = 0) {
-    Do(CallStands{.call = call, .exchange = Id(number), .attempt = attempt, .elapsed_us = elapsed});
+    Do(CallEstablished{.call = call, .exchange = Id(number), .attempt = attempt, .elapsed_us = elapsed});
   }
-  void End(CallId call, int number, Outcome outcome, Cause cause = Cause::kNone, int attempt = 0,
+  void End(CallId call, int number, Outcome outcome, RejectCause cause = RejectCause::kNone, int attempt = 0,
            std::vector<float> report = {}, TimeUs elapsed = 1000 * kMs) {
     Do(AttemptEnded{.call = call,
                     .exchange = Id(number),
@@ -104,7 +105,7 @@
 
   // The exchange the last event sent a call to, by number; -1: none.
   int SentTo() const {
-    const auto* send = First<Send>();
+    const auto* send = First<SendSetUp>();
     return send == nullptr ? -1 : static_cast<int>(send->exchange) - 100;
   }
   template <typename T>
@@ -114,8 +115,8 @@
     }
     return nullptr;
   }
-  bool Refused() const { return First<Refuse>() != nullptr; }
-  bool Failed() const { return First<Fail>() != nullptr; }
+  bool Refused() const { return First<RefuseCall>() != nullptr; }
+  bool Failed() const { return First<FailCall>() != nullptr; }
 
   std::vector<Action> actions;
   TimeUs now = kStart;
--- a/tests/flow_export_test.cpp
+++ b/tests/flow_export_test.cpp
@@ -185,7 +185,7 @@
     FlowRecord record;
     ASSERT_TRUE(ring.Pop(&record));
     EXPECT_EQ(record.end_ms - record.start_ms, 2'500U);
-    EXPECT_EQ(record.end_ms, static_cast<std::uint64_t>(runtime.WallUs() / 1000));
+    EXPECT_EQ(record.end_ms, static_cast<std::uint64_t>(runtime.WallClockUs() / 1000));
   }
 }
 
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -63,14 +63,14 @@
 // Calls, exchanges, classes and customers that do not exist, figures that are no numbers, events out of
 // order.
 TEST(Fuzz, HostileEventsDoNoHarm) {
-  for (const Shape shape : {Shape::kMeshed, Shape::kGroups}) {
+  for (const Topology shape : {Topology::kMeshed, Topology::kGroups}) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       Settings s = PlainSettings();
-      s.shape = shape;
-      s.discovery = seed % 2 == 0 ? Discovery::kSubscribe : Discovery::kAutomatic;
+      s.topology = shape;
+      s.discovery_mode = seed % 2 == 0 ? DiscoveryMode::kSubscribe : DiscoveryMode::kAutomatic;
       if (seed % 3 == 0) s.report_fields.clear();
       if (seed % 4 == 0) s.classes.clear();
-      if (seed % 5 == 0) s.senders = 0;
+      if (seed % 5 == 0) s.softswitch_count = 0;
       Bench b(s, seed);
       std::mt19937_64 random(seed);
       const float figures[] = {
@@ -99,23 +99,23 @@
                              .in_transit = random() % 4 == 0});
             break;
           case 2:
-            b.Do(CallStands{.call = call, .exchange = exchange(), .attempt = attempt, .elapsed_us = random()});
+            b.Do(CallEstablished{.call = call, .exchange = exchange(), .attempt = attempt, .elapsed_us = random()});
             break;
           case 3:
             b.Do(AttemptEnded{.call = call,
                               .exchange = exchange(),
                               .attempt = attempt,
                               .outcome = static_cast<Outcome>(random() % 8),
-                              .cause = static_cast<Cause>(random() % 6),
+                              .cause = static_cast<RejectCause>(random() % 6),
                               .elapsed_us = random() % (5000 * kMs),
                               .terminal = random() % 2 == 0,
                               .report = {figure(), figure(), figure(), figure()}});
             break;
           case 4:
-            b.Do(ReportHeard{.exchange = exchange(), .report = {figure(), figure(), figure()}});
+            b.Do(LoadReportReceived{.exchange = exchange(), .report = {figure(), figure(), figure()}});
             break;
           case 5:
-            b.Do(TimerDue{random() % 2 == 0 ? random() : call});
+            b.Do(TimerExpired{random() % 2 == 0 ? random() : call});
             break;
           default: {
             DirectoryUpdate update{.kind = static_cast<DirectoryKind>(random() % 4)};
@@ -130,8 +130,8 @@
           }
         }
         for (const Action& action : b.actions) {
-          const auto* refuse = std::get_if<Refuse>(&action);
-          const auto* fail = std::get_if<Fail>(&action);
+          const auto* refuse = std::get_if<RefuseCall>(&action);
+          const auto* fail = std::get_if<FailCall>(&action);
           if (refuse == nullptr && fail == nullptr) continue;
           const CallId id = refuse != nullptr ? refuse->call : fail->call;
           EXPECT_TRUE(offered.count(id) > 0) << "answered a call never offered";
--- a/tests/hard_case_fixture.h
+++ b/tests/hard_case_fixture.h
@@ -19,7 +19,7 @@
 inline const core::Address kEdge{0x7f000001, 2727}, kGateway{0x7f000002, 2427}, kRoster{0x7f000003, 4000};
 
 // Answers every command with success unless told otherwise, keeps all it heard, and says what the test says.
-class ScriptedGateway final : public core::DatagramSink {
+class ScriptedGateway final : public core::DatagramHandler {
  public:
   explicit ScriptedGateway(sim::VirtualRuntime* runtime) : port_(runtime->OpenPort(kGateway, this)) {}
   void OnDatagram(const core::Address&, std::string_view bytes) override {
@@ -87,7 +87,7 @@
   std::unique_ptr<core::DatagramPort> port_;
 };
 
-class RosterPort final : public core::DatagramSink {
+class RosterPort final : public core::DatagramHandler {
  public:
   explicit RosterPort(sim::VirtualRuntime* runtime) : port_(runtime->OpenPort(kRoster, this)) {}
   void OnDatagram(const core::Address& from, std::string_view ask) override {
--- a/tests/hard_cases_test.cpp
+++ b/tests/hard_cases_test.cpp
@@ -278,9 +278,9 @@
 }
 
 // The log of an edge, by call.
-class KeptLog final : public core::LogSink {
+class KeptLog final : public core::Logger {
  public:
-  bool Wants(core::LogLevel) const override { return true; }
+  bool IsEnabled(core::LogLevel) const override { return true; }
   void Write(core::LogLevel, std::string_view event, CallId call, std::string_view detail) override {
     lines.push_back({std::string(event), call, std::string(detail)});
   }
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "lab/platform_stand_ins.h"
-#include "platform/board.h"
+#include "platform/discovery_client.h"
 #include "platform/node.h"
 #include "sim/virtual_runtime.h"
 
@@ -26,10 +26,10 @@
 inline constexpr Address kSoftswitch{0x7f080001, 5080}, kBoard{0x7f08c801, 9092}, kOtherBoard{0x7f08c801, 9093};
 inline constexpr char kCall[] = "9b1f03aa5c7e2d41", kOther[] = "9b1f03aa5c7e2d42";
 
-class NoLog final : public core::LogSink {
+class NoLog final : public core::Logger {
  public:
   void Write(core::LogLevel, std::string_view, CallId, std::string_view) override {}
-  bool Wants(core::LogLevel level) const override { return level != core::LogLevel::kDebug; }
+  bool IsEnabled(core::LogLevel level) const override { return level != core::LogLevel::kDebug; }
 };
 
 inline Address ExchangeAddress(int number) { return {0x7f080100U + static_cast<unsigned>(number), 5080}; }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -99,11 +99,12 @@
   std::vector<config::Mistake> mistakes;
   const NodeConfig config = ParseNodeConfig(ConfigJson().dump(), "", "", &mistakes);
   EXPECT_EQ(config.module.own_number, 0);
-  EXPECT_EQ(config.module.release_us, 300'000U);
+  EXPECT_EQ(config.module.resend_guard_us, 300'000U);
   ASSERT_EQ(config.module.classes.size(), 1U);
-  EXPECT_EQ(config.module.classes[0].aim_us, 1'500'000U);
+  EXPECT_EQ(config.module.classes[0].target_delay_us, 1'500'000U);
   EXPECT_EQ(config.module.classes[0].holding_us, 10'000'000U);
-  EXPECT_EQ(config.module.report_fields, (std::vector<ReportField>{ReportField::kSpare, ReportField::kTotal}));
+  EXPECT_EQ(config.module.report_fields,
+            (std::vector<ReportField>{ReportField::kFreeCircuits, ReportField::kTotalCircuits}));
   EXPECT_EQ(config.zones, (std::vector<std::string>{"west", "east"}));
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -76,7 +76,7 @@
   }
 
   void Check(const Action& action) {
-    if (const auto* send = std::get_if<Send>(&action)) {
+    if (const auto* send = std::get_if<SendSetUp>(&action)) {
       ++sends_;
       Held& call = calls_.at(send->call);
       const int to = static_cast<int>(send->exchange) - 100;
@@ -85,41 +85,41 @@
       EXPECT_GE(now_, call.not_before) << "sent before the release";
       EXPECT_EQ(status_[to], ExchangeStatus::kReady) << "sent to an exchange that drains or is gone";
       EXPECT_NE(to, settings_.own_number) << "sent to the own exchange";
-      EXPECT_LT(call.attempts, settings_.most_attempts);
+      EXPECT_LT(call.attempts, settings_.max_attempts);
       if (call.offer.in_transit) {
         EXPECT_EQ(to, call.offer.destination);
       }
-      if (settings_.shape == Shape::kGroups) {
+      if (settings_.topology == Topology::kGroups) {
         const auto& pools = ClassOf(call).pools;
         EXPECT_TRUE(std::find(pools.begin(), pools.end(), to) != pools.end());
       }
-      if (call.may_have_run && ClassOf(call).repeat != Repeat::kIdempotent) {
-        EXPECT_EQ(ClassOf(call).repeat, Repeat::kDeduplicated);
-        EXPECT_LE(now_, call.ran_sent + ClassOf(call).window_us);
-        if (ClassOf(call).group == RepeatGroup::kZone) {
+      if (call.may_have_run && ClassOf(call).retry_semantics != RetrySemantics::kIdempotent) {
+        EXPECT_EQ(ClassOf(call).retry_semantics, RetrySemantics::kDeduplicated);
+        EXPECT_LE(now_, call.ran_sent + ClassOf(call).deduplication_window_us);
+        if (ClassOf(call).deduplication_scope == DeduplicationScope::kZone) {
           EXPECT_EQ(to % 2, call.ran_at % 2);
         }
-        if (ClassOf(call).group == RepeatGroup::kNumber) {
+        if (ClassOf(call).deduplication_scope == DeduplicationScope::kNumber) {
           EXPECT_EQ(to, call.ran_at);
         }
       }
       call.out = true;
       Schedule(send->call, to, call.attempts++, send->timeout_us);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<RefuseCall>(&action)) {
       const Held& call = calls_.at(refuse->call);
       if (call.may_have_run) {
-        EXPECT_NE(ClassOf(call).repeat, Repeat::kAtMostOnce);
-        if (ClassOf(call).repeat == Repeat::kDeduplicated) {
-          EXPECT_EQ(ClassOf(call).group, RepeatGroup::kAll);
+        EXPECT_NE(ClassOf(call).retry_semantics, RetrySemantics::kAtMostOnce);
+        if (ClassOf(call).retry_semantics == RetrySemantics::kDeduplicated) {
+          EXPECT_EQ(ClassOf(call).deduplication_scope, DeduplicationScope::kAll);
         }
       }
       Final(refuse->call);
-    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<FailCall>(&action)) {
       Final(fail->call);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      agenda_.emplace(now_ + std::max<TimeUs>(timer->delay_us, 1), TimerDue{timer->token});
+      agenda_.emplace(now_ + std::max<TimeUs>(timer->delay_us, 1), TimerExpired{timer->token});
     } else {
-      EXPECT_FALSE(std::holds_alternative<Cancel>(action) || std::holds_alternative<Probe>(action));
+      EXPECT_FALSE(std::holds_alternative<CancelSetUp>(action) || std::holds_alternative<SendProbe>(action));
     }
   }
 
@@ -145,18 +145,19 @@
       agenda_.emplace(sent + timeout, ended);
     } else if (kind <= 12) {
       agenda_.emplace(sent + delay,
-                      CallStands{.call = id, .exchange = Bench::Id(to), .attempt = attempt, .elapsed_us = delay});
+                      CallEstablished{.call = id, .exchange = Bench::Id(to), .attempt = attempt, .elapsed_us = delay});
       ended.terminal = true;
       ended.outcome = random_() % 5 == 0 ? Outcome::kReset : Outcome::kOk;
       agenda_.emplace(sent + delay + 1 + random_() % (9000 * kMs), ended);
     } else {
-      constexpr Outcome kEnds[] = {Outcome::kFull, Outcome::kFull,  Outcome::kConnectFailed,
-                                   Outcome::kMoot, Outcome::kReset, Outcome::kError};
-      constexpr Cause kCauses[] = {Cause::kNone,           Cause::kNoCircuit,     Cause::kTurnedBack,
-                                   Cause::kTurnedBackFull, Cause::kProcessorFull, Cause::kLinesBusy};
+      constexpr Outcome kEnds[] = {Outcome::kRejected, Outcome::kRejected, Outcome::kConnectFailed,
+                                   Outcome::kNotSent,  Outcome::kReset,    Outcome::kError};
+      constexpr RejectCause kCauses[] = {RejectCause::kNone,          RejectCause::kNoCircuit,
+                                         RejectCause::kCrankback,     RejectCause::kCrankbackProcessorFull,
+                                         RejectCause::kProcessorFull, RejectCause::kLinesBusy};
       ended.outcome = kEnds[random_() % 6];
       ended.cause = kCauses[random_() % 6];
-      agenda_.emplace(sent + (ended.outcome == Outcome::kMoot ? 1 : delay), ended);
+      agenda_.emplace(sent + (ended.outcome == Outcome::kNotSent ? 1 : delay), ended);
     }
     sent_at_[{id, attempt}] = sent;
   }
@@ -168,16 +169,16 @@
       now_ = std::max(agenda_.begin()->first, last_);
       last_ = now_;
       agenda_.erase(agenda_.begin());
-      if (const auto* stands = std::get_if<CallStands>(&event)) {
+      if (const auto* stands = std::get_if<CallEstablished>(&event)) {
         calls_.at(stands->call).stands = true;
         calls_.at(stands->call).over = true;
       } else if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
         Held& call = calls_.at(ended->call);
         call.out = false;
         const bool wait = ended->outcome == Outcome::kTimeout || ended->outcome == Outcome::kReset;
-        if (wait) call.not_before = now_ + settings_.release_us;
-        const bool proof = ended->outcome == Outcome::kFull || ended->outcome == Outcome::kConnectFailed ||
-                           ended->outcome == Outcome::kMoot;
+        if (wait) call.not_before = now_ + settings_.resend_guard_us;
+        const bool proof = ended->outcome == Outcome::kRejected || ended->outcome == Outcome::kConnectFailed ||
+                           ended->outcome == Outcome::kNotSent;
         if (!proof && !call.may_have_run) {
           call.may_have_run = true;
           call.ran_at = static_cast<int>(ended->exchange) - 100;
@@ -204,7 +205,8 @@
 
   void Report() {
     const auto i = 1 + static_cast<int>(random_() % (kExchanges - 1));
-    Do(ReportHeard{.exchange = Bench::Id(i), .report = {static_cast<float>(random_() % 12), 12.0F, -1.0F, -1.0F}});
+    Do(LoadReportReceived{.exchange = Bench::Id(i),
+                          .report = {static_cast<float>(random_() % 12), 12.0F, -1.0F, -1.0F}});
   }
 
   void Offer() {
@@ -215,8 +217,8 @@
                   .budget_us = random_() % (3000 * kMs),
                   .destination = static_cast<int>(random_() % kExchanges),
                   .width = random_() % 5 == 0 ? 4.0 : 1.0,
-                  .in_transit = settings_.shape == Shape::kMeshed && random_() % 4 == 0};
-    if (settings_.shape == Shape::kMeshed && call.offer.destination == settings_.own_number) {
+                  .in_transit = settings_.topology == Topology::kMeshed && random_() % 4 == 0};
+    if (settings_.topology == Topology::kMeshed && call.offer.destination == settings_.own_number) {
       call.offer.destination = 1;
     }
     call.deadline = now_ + call.offer.budget_us;
@@ -244,14 +246,14 @@
 Settings ThreeKinds() {
   Settings s = PlainSettings();
   s.classes.assign(5, s.classes[0]);
-  s.classes[1].repeat = Repeat::kAtMostOnce;
+  s.classes[1].retry_semantics = RetrySemantics::kAtMostOnce;
   for (std::size_t i = 2; i < 5; ++i) {
-    s.classes[i].repeat = Repeat::kDeduplicated;
-    s.classes[i].window_us = 1000 * kMs;
+    s.classes[i].retry_semantics = RetrySemantics::kDeduplicated;
+    s.classes[i].deduplication_window_us = 1000 * kMs;
     s.classes[i].worth = static_cast<double>(i);
   }
-  s.classes[3].group = RepeatGroup::kZone;
-  s.classes[4].group = RepeatGroup::kNumber;
+  s.classes[3].deduplication_scope = DeduplicationScope::kZone;
+  s.classes[4].deduplication_scope = DeduplicationScope::kNumber;
   for (CallClass& c : s.classes) c.pools = {1, 2, 3};
   return s;
 }
@@ -262,7 +264,7 @@
 
 TEST(RandomDays, RulesAreKeptWithPools) {
   Settings s = ThreeKinds();
-  s.shape = Shape::kGroups;
+  s.topology = Topology::kGroups;
   s.own_number = -1;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) RandomDay(s, seed).Run();
 }
--- a/tests/settings_parser_test.cpp
+++ b/tests/settings_parser_test.cpp
@@ -13,26 +13,26 @@
       "deduplicated\n"
       "grades.1.group=cell\ngrades.1.worth=4\ntenants=\nreport.fields=spare,novel,cut_by\n"
       "allowed.may_cancel=true\ndiscovery=subscribe\ncontract.cold_from=0.36\nline without value\n");
-  EXPECT_EQ(s.senders, 4);
+  EXPECT_EQ(s.softswitch_count, 4);
   EXPECT_EQ(s.own_number, 2);
-  EXPECT_EQ(s.release_us, 300000U);
+  EXPECT_EQ(s.resend_guard_us, 300000U);
   ASSERT_EQ(s.classes.size(), 2U);
-  EXPECT_EQ(s.classes[0].aim_us, 1500000U);
-  EXPECT_EQ(s.classes[1].repeat, Repeat::kDeduplicated);
-  EXPECT_EQ(s.classes[1].group, RepeatGroup::kNumber);
+  EXPECT_EQ(s.classes[0].target_delay_us, 1500000U);
+  EXPECT_EQ(s.classes[1].retry_semantics, RetrySemantics::kDeduplicated);
+  EXPECT_EQ(s.classes[1].deduplication_scope, DeduplicationScope::kNumber);
   EXPECT_EQ(s.classes[1].width, 4.0);
   EXPECT_EQ(s.classes[1].holding_us, 20000U);
   EXPECT_TRUE(s.customers.empty());
   EXPECT_EQ(s.report_fields,
-            (std::vector<ReportField>{ReportField::kSpare, ReportField::kUnknown, ReportField::kCutBy}));
+            (std::vector<ReportField>{ReportField::kFreeCircuits, ReportField::kUnknown, ReportField::kLoadReduction}));
   EXPECT_TRUE(s.may_cancel);
-  EXPECT_EQ(s.discovery, Discovery::kSubscribe);
-  EXPECT_EQ(s.cold_from, 0.36);
+  EXPECT_EQ(s.discovery_mode, DiscoveryMode::kSubscribe);
+  EXPECT_EQ(s.warm_up_start_share, 0.36);
 }
 
 TEST(SettingsParser, AbsentKeysAreNeutral) {
   const Settings s = ParseSettings("");
-  EXPECT_EQ(s.most_attempts, 1);
+  EXPECT_EQ(s.max_attempts, 1);
   EXPECT_FALSE(s.may_probe);
   EXPECT_TRUE(s.classes.empty());
 }
@@ -41,7 +41,7 @@
   const Settings s = ParseSettings(
       "family_info.shape=groups\nfamily_info.class_cells.0=1,3\nfamily_info.class_cells.1=2\ngrades.count="
       "2\n");
-  EXPECT_EQ(s.shape, Shape::kGroups);
+  EXPECT_EQ(s.topology, Topology::kGroups);
   EXPECT_EQ(s.classes[0].pools, (std::vector<int>{1, 3}));
   EXPECT_EQ(s.classes[1].pools, (std::vector<int>{2}));
 }
--- a/tests/streams_test.cpp
+++ b/tests/streams_test.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint32_t kLoopback = 0x7f000001;
 constexpr TimeUs kSecond = 1'000'000;
 
-struct Sink final : core::StreamSink {
+struct Sink final : core::StreamHandler {
   void OnOpen() override {
     open = true;
     if (on_open) on_open();
@@ -40,7 +40,7 @@
 };
 
 struct Acceptor final : core::StreamAcceptor {
-  core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override {
+  core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override {
     sinks.push_back(std::make_unique<Sink>());
     sinks.back()->stream = std::move(stream);
     if (on_accept) on_accept(*sinks.back());
@@ -116,7 +116,7 @@
   acceptor_.on_accept = [this](Sink& sink) {
     sink.stream->PauseReading(true);
     runtime_.StartTimer(50'000, [this, &sink] {
-      EXPECT_TRUE(sink.stream->Unread());
+      EXPECT_TRUE(sink.stream->HasUnreadInput());
       sink.stream->Write("last answer");
       sink.stream.reset();
       // What it was told lies unread at the client while the close reaches it.
@@ -140,7 +140,7 @@
   acceptor_.on_accept = [](Sink& sink) {
     sink.on_bytes = [&sink] {
       sink.stream->Write(std::string(kMany, 'x'));
-      EXPECT_GT(sink.stream->Pending(), 0U);
+      EXPECT_GT(sink.stream->PendingWriteOctets(), 0U);
       sink.stream.reset();
     };
   };
@@ -189,8 +189,8 @@
   acceptor_.on_accept = [this](Sink& sink) {
     sink.stream->PauseReading(true);
     runtime_.StartTimer(20'000, [this, &sink] {
-      EXPECT_TRUE(sink.stream->Unread());
-      EXPECT_TRUE(sink.stream->FarEndGone());
+      EXPECT_TRUE(sink.stream->HasUnreadInput());
+      EXPECT_TRUE(sink.stream->PeerClosed());
       EXPECT_FALSE(sink.end.has_value());
       runtime_.Stop();
     });
@@ -238,7 +238,7 @@
       if (heard == kMany) runtime_.Stop();
     };
     runtime_.StartTimer(100'000, [&] {
-      EXPECT_GT(client_.stream->Pending(), 0U);
+      EXPECT_GT(client_.stream->PendingWriteOctets(), 0U);
       sink.stream->PauseReading(false);
     });
   };
@@ -246,8 +246,8 @@
   Connect();
   Run();
   EXPECT_EQ(heard, kMany);
-  EXPECT_EQ(client_.stream->Pending(), 0U);
-  EXPECT_LE(acceptor_.sinks.front()->largest, core::kMostStreamRead);
+  EXPECT_EQ(client_.stream->PendingWriteOctets(), 0U);
+  EXPECT_LE(acceptor_.sinks.front()->largest, core::kMaxStreamRead);
 }
 
 TEST_F(StreamsTest, AStreamMayBeDestroyedFromWithinItsOwnCalls) {
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -15,7 +15,7 @@
 const Address kAgent{0x7f000001, 2727}, kGateway{0x7f000002, 2427};
 
 // The other side, octet by octet.
-class Wire final : public core::DatagramSink {
+class Wire final : public core::DatagramHandler {
  public:
   explicit Wire(sim::VirtualRuntime* runtime) : port(runtime->OpenPort(kGateway, this)) {}
   void OnDatagram(const Address&, std::string_view bytes) override { heard.emplace_back(bytes); }
--- a/tests/ws_test.cpp
+++ b/tests/ws_test.cpp
@@ -13,8 +13,8 @@
 
 #include "hard_case_fixture.h"
 #include "runtime/asio_runtime.h"
-#include "ws/desk.h"
 #include "ws/server.h"
+#include "ws/session_manager.h"
 
 namespace croftrun::ws {
 namespace {
@@ -76,7 +76,7 @@
 }
 
 // A connection in memory.
-class Line final : public Sink {
+class Line final : public ConnectionOutput {
  public:
   void Send(std::string text) override { heard.push_back(json::parse(text)); }
   std::size_t Queued() const override { return queued; }
@@ -95,9 +95,9 @@
  protected:
   ApiOverAnEdge() {
     edge::ApiSettings api;
-    api.desk.token_keys = {"a key of some length"};
-    api.desk.session.most_calls = 2;
-    api.desk.session.commands = {10.0, 12.0};
+    api.session_manager.token_keys = {"a key of some length"};
+    api.session_manager.session.most_calls = 2;
+    api.session_manager.session.commands = {10.0, 12.0};
     settings.api = api;
     StartEdge();
     runtime.SetWall(1'900'000'000'000'000);
@@ -105,19 +105,19 @@
   std::string Token(std::int64_t expires_s = 2'000'000'000, const std::string& client = "crew-7") {
     return MakeToken({client, "", expires_s}, "a key of some length");
   }
-  Desk::ConnectionId Open(Line* line, const std::string& token, const json& more = json::object()) {
-    const auto id = node->desk()->OnOpened(line, "127.0.0.1");
+  SessionManager::ConnectionId Open(Line* line, const std::string& token, const json& more = json::object()) {
+    const auto id = node->session_manager()->OnOpened(line, "127.0.0.1");
     json hello = {{"v", 1}, {"id", "hello"}, {"do", "hello"}, {"token", token}};
     hello.update(more);
-    node->desk()->OnText(id, hello.dump());
+    node->session_manager()->OnText(id, hello.dump());
     return id;
   }
-  void Say(Desk::ConnectionId id, const std::string& request, json command) {
+  void Say(SessionManager::ConnectionId id, const std::string& request, json command) {
     command["v"] = 1;
     command["id"] = request;
-    node->desk()->OnText(id, command.dump());
+    node->session_manager()->OnText(id, command.dump());
   }
-  CallId Place(Desk::ConnectionId id, Line* line, const std::string& request) {
+  CallId Place(SessionManager::ConnectionId id, Line* line, const std::string& request) {
     Say(id, request, {{"do", "place"}, {"called", "110010007"}, {"patience_ms", 3000}});
     runtime.RunFor(kMs);
     for (auto m = line->heard.rbegin(); m != line->heard.rend(); ++m) {
@@ -152,7 +152,7 @@
   const CallId call = Place(id, &line, "r1");
   EXPECT_EQ(Place(id, &line, "r1"), call);
   EXPECT_EQ(SetUps(), 1U);
-  EXPECT_EQ(node->desk()->counters().repeated, 1U);
+  EXPECT_EQ(node->session_manager()->counters().repeated, 1U);
 }
 
 TEST_F(ApiOverAnEdge, AFinalAnswerReachedWhileAwayIsToldOnceOnResume) {
@@ -160,14 +160,14 @@
   const auto id = Open(&line, Token());
   const std::string session = line.heard.at(0).at("session");
   ASSERT_NE(Place(id, &line, "r1"), 0U);
-  node->desk()->OnClosed(id);
+  node->session_manager()->OnClosed(id);
   OnCircuit(LastSeized(), "MS/ans");
   EXPECT_EQ(line.Count("final"), 0U);
   Line back;
   const auto again = Open(&back, Token(), {{"session", session}, {"have", 0}});
   EXPECT_EQ(back.Count("final"), 1U);
   const std::uint64_t seen = back.Last().at("seq");
-  node->desk()->OnClosed(again);
+  node->session_manager()->OnClosed(again);
   Line third;
   Open(&third, Token(), {{"session", session}, {"have", seen}});
   EXPECT_EQ(third.Count("final"), 0U);  // confirmed
@@ -183,12 +183,12 @@
   const auto id = Open(&line, Token());
   Place(id, &line, "r1");
   OnCircuit(LastSeized(), "MS/ans");
-  node->desk()->OnClosed(id);
+  node->session_manager()->OnClosed(id);
   runtime.RunFor(29'000 * kMs);
   EXPECT_EQ(node->core().open_calls(), 1U);
   runtime.RunFor(3'000 * kMs);
   EXPECT_EQ(node->core().open_calls(), 0U);
-  EXPECT_EQ(node->desk()->sessions(), 0U);
+  EXPECT_EQ(node->session_manager()->sessions(), 0U);
 }
 
 TEST_F(ApiOverAnEdge, ASlowReaderIsClosedAndLosesNoAnswer) {
@@ -199,7 +199,7 @@
   line.queued = 1U << 20U;
   OnCircuit(LastSeized(), "MS/ans");
   EXPECT_EQ(line.closed, 1013);
-  node->desk()->OnClosed(id);
+  node->session_manager()->OnClosed(id);
   Line back;
   Open(&back, Token(), {{"session", session}, {"have", 0}});
   EXPECT_EQ(back.Count("final"), 1U);
@@ -234,18 +234,18 @@
   EXPECT_EQ(line.Last().at("error").at("code"), "too-many-commands");
   Say(id, "x", {{"do", "place"}, {"called", "999"}});
   Line silent;
-  node->desk()->OnOpened(&silent, "127.0.0.1");
+  node->session_manager()->OnOpened(&silent, "127.0.0.1");
   runtime.RunFor(6'000 * kMs);
   EXPECT_EQ(silent.closed, 1008);
   Line rude;
-  const auto rude_id = node->desk()->OnOpened(&rude, "127.0.0.1");
+  const auto rude_id = node->session_manager()->OnOpened(&rude, "127.0.0.1");
   Say(rude_id, "p", {{"do", "place"}, {"called", "110010007"}});
   EXPECT_EQ(rude.heard.at(0).at("error").at("code"), "hello-first");
   EXPECT_EQ(rude.closed, 1008);
 }
 
 TEST_F(ApiOverAnEdge, ARefusalThatComesAtOnceFollowsTheReplyThatNamesTheCall) {
-  node->core().StopTaking();
+  node->core().StopAcceptingCalls();
   Line line;
   const auto id = Open(&line, Token());
   const CallId call = Place(id, &line, "r1");
@@ -258,10 +258,10 @@
 
 // ---- the transport, on loopback ----
 
-class Counting final : public CallDesk {
+class Counting final : public CallService {
  public:
-  bool Classify(core::Offer*, const std::string&, bool*, TimeUs*) override { return true; }
-  CallId Take(const core::Offer&, core::Subscriber*, std::string_view) override { return ++calls; }
+  bool Classify(core::CallRequest*, const std::string&, bool*, TimeUs*) override { return true; }
+  CallId Take(const core::CallRequest&, core::CallOwner*, std::string_view) override { return ++calls; }
   void HangUp(CallId) override { ++hung_up; }
   json List(const std::string&) override { return json::array(); }
   CallId calls = 0;
@@ -276,7 +276,7 @@
     settings_.handshake_us = 300'000;
     settings_.idle_us = 1'000'000;
     settings_.most_connections = 8;
-    desk_ = std::make_unique<Desk>(DeskSettings{}, &runtime_, &calls_);
+    desk_ = std::make_unique<SessionManager>(SessionManagerSettings{}, &runtime_, &calls_);
     server_ = std::make_unique<Server>(&runtime_.context(), settings_, desk_.get());
     thread_ = std::thread([this] { runtime_.Run(); });
   }
@@ -314,7 +314,7 @@
   runtime::AsioRuntime runtime_;
   Counting calls_;
   ServerSettings settings_;
-  std::unique_ptr<Desk> desk_;
+  std::unique_ptr<SessionManager> desk_;
   std::unique_ptr<Server> server_;
   std::thread thread_;
   boost::asio::io_context clients_;
