--- a/src/core/call_core.h
+++ b/src/core/call_core.h
@@ -8,11 +8,7 @@
 // States of a call                         left by
 //   kRouting   taken, no final answer        final answer, or the caller hangs up
 //   kRinging   for a line of this exchange   the line answers, is busy, or the time is up
-<<<<<<< HEAD
-//   kEstablished    answered                      either side hangs up, or it is cut
-=======
 //   kEstablished answered                    either side hangs up, or it is cut
->>>>>>> vocab
 // A call is forgotten when it leaves the last one; its circuits then follow through kReleasing by themselves.
 #ifndef CROFTRUN_CORE_CALL_CORE_H_
 #define CROFTRUN_CORE_CALL_CORE_H_
@@ -65,11 +61,7 @@
   int exchange_number = -1;  // number of the exchange that gave the cause; -1 unknown
   TimeUs wait_us = 0;        // stated by a full processor; 0: none
   LoadReport load = {};
-<<<<<<< HEAD
-  std::optional<AttemptResult> attempt_result = {};  // nothing: it follows from `cause` and `at`
-=======
   std::optional<AttemptResult> attempt_result = {};  // nothing: it follows from `cause` and `exchange_number`
->>>>>>> vocab
 };
 
 // One call as a front offers it.
@@ -87,11 +79,7 @@
   std::uint64_t key = 0;    // by the rules: what the call is held by in place of the number called; 0: the number
   std::uint32_t rules = 0;  // version of the rules that classified it; 0: none
   // Where the network counts the circuits, set-ups in transit come by the front too.
-<<<<<<< HEAD
-  bool in_transit = false;      // may only go to its destination; `advice` is where it comes from
-=======
   bool in_transit = false;      // may only go to its destination; `advised_tandem` is where it comes from
->>>>>>> vocab
   bool previously_cut = false;  // it stood, was cut and comes again
   std::string session = {};     // the caller's media description, passed on with each set-up
 };
