--- a/src/call_controller.cpp
+++ b/src/call_controller.cpp
@@ -1,8 +1,9 @@
-// The decision module of croftrun. Its interface (settings, events, actions):
-// include/croftrun/call_controller.h
+// The decision module of croftrun: routing, admission and load control for one exchange. Its interface (settings,
+// events, actions) is include/croftrun/call_controller.h.
 //
-// In order: constants; exchange view; call table; route choice; admission; guards; event handlers. The
-// ordinary path is the one of docs/design.md; each extension says when it acts.
+// The file is in this order: constants, exchange state, call state, route selection, admission, guards, event handlers.
+// docs/design.md describes the basic procedure; the comment of each extension to it states the symptom on which it
+// acts, what it helps against, and what it may harm.
 #include "croftrun/call_controller.h"
 
 #include <algorithm>
@@ -16,75 +17,85 @@
 namespace croftrun {
 namespace {
 
-// ---- constants: times in microseconds, shares of 1 ----
+// ---- constants: times in microseconds, time constants as double, all else dimensionless ----
 
 constexpr TimeUs kSecond = 1'000'000;
-// The design page: a reported queue counts while under this age.
+// Maximum age of a reported queue length; from then on the own count of unanswered set-ups is used (docs/design.md).
 constexpr TimeUs kMaxQueueReportAge = 2 * kSecond;
-// "Recent" for the least set-up delay: two spans of this, so that a minimum lives 5 to 10 s.
+// The minimum of the set-up delay covers the current and the previous window of this length, so a value is kept for 5
+// to 10 s.
 constexpr TimeUs kDelayMinimumWindow = 5 * kSecond;
-// Rates and pressures are averaged over a few seconds: the time in which traffic itself moves.
+// Time constants of rates and loss counts: a few seconds, the time scale on which the traffic itself changes.
 constexpr double kRateTimeConstant = 5e6, kPooledRateTimeConstant = 2e6;
-// Shares of the shortest aim: up to kCalm a set-up delay is ordinary, past kPressed it threatens the aim.
+// A set-up delay under kNormalThreshold of the shortest target delay is normal, one over kOverloadThreshold endangers
+// the target. Load reductions and shares of lost set-ups are compared with the same values.
 constexpr double kNormalThreshold = 0.2, kOverloadThreshold = 0.35;
-// Loss control steps up on a pressed set-up (more on a lost one), down by a share on a calm one.
+// Loss control adds one step to the load reduction of an exchange for a set-up delay over the overload threshold, up to
+// kMaxReductionSteps for a very long delay or a lost set-up, and multiplies it by the decay factor for a normal delay.
 constexpr double kReductionStep = 0.1, kMaxReductionSteps = 3.0;
 constexpr double kReductionDecayFactor = 0.85, kMaxReduction = 0.95;
-// Without news a cut fades at this pace, so that recovery is seen.
+// Without new set-up delays, a load reduction decays with this time constant, so that a recovery is noticed.
 constexpr double kReductionTimeConstant = 8e6;
-// Trial set-ups to an exchange or number that is otherwise given nothing: at most this often from here, and
-// from all senders together.
+// Minimum interval between trial set-ups to an exchange or number that otherwise receives none: from this softswitch,
+// and from all softswitches together.
 constexpr TimeUs kMinTrialInterval = kSecond / 2, kMinTrialIntervalOfAll = kSecond;
-// Figures of a report fade over this time: a sender of a large network hears of an exchange that seldom.
+// Values from reports decay with this time constant, because a softswitch in a large network rarely receives a report
+// from a given exchange.
 constexpr double kReportTimeConstant = 8e6;
-// An exchange whose allowed rate falls under this share of its usual one is pressed.
-// The usual one falls by a 64th of the gap with each report, rises at once.
+// An exchange whose allowed rate falls below this share of its usual value is overloaded. The usual value follows a
+// higher rate at once and a lower one with this gain per report.
 constexpr double kAllowedRateDipThreshold = 0.5, kUsualValueGain = 1.0 / 64.0;
-// No event for this long: the softswitch itself stood still, and answers wait to be read. Calls that are late
-// by then are known by their age.
+// A gap of this length between events means that the softswitch itself was stalled and that answers wait to be read.
+// Offered calls that have become late meanwhile are recognised by their reduced time budget.
 constexpr TimeUs kStallThreshold = kSecond / 4;
-// An exchange that lost a set-up is given nothing for this long, twice as long after each further one in a
-// row. A timeout counts from this share of the aim; a delay under so many times the pressed one ends the row.
+// After a lost set-up, an exchange receives none for this time, doubled after each further consecutive loss. A timeout
+// counts as a loss if the set-up waited more than kLossTimeoutThreshold of the shortest target delay. A set-up delay
+// under kLossResetDelayFactor times the overload threshold ends the series of losses.
 constexpr TimeUs kInitialBackOff = kSecond;
 constexpr double kLossTimeoutThreshold = 0.5, kLossResetDelayFactor = 2.0;
-// The answer to the caller is given this much before the caller's time is up.
+// The caller is answered this long before its time budget ends.
 constexpr TimeUs kAnswerMargin = kSecond / 50;
-// A call is held for a circuit for at most this share of its aim, and leaves time for so many set-ups.
+// A call waits for a circuit for at most this share of its target delay, and at least kSetUpDelayMargin times the
+// expected set-up delay must remain. A redial older than this share is late.
 constexpr double kMaxQueueWaitShare = 0.8, kSetUpDelayMargin = 1.5;
-// Second legs are remembered for a few holding times; a tandem is a candidate while its chance is at least
-// this share of the best one's. A leg never tried weighs as one try at the tandem's rate.
+// Outcomes of calls over a tandem are remembered for a few holding times. A tandem is a candidate while its success
+// probability is at least kMinRelativeProbability of the best one. Prior estimates have the weight of kPriorWeight
+// set-ups.
 constexpr double kTandemTimeConstant = 40e6, kMinRelativeProbability = 0.75, kPriorWeight = 1.0;
-// A tandem never tried is taken to let every second call through, with the weight of two tries.
+// Prior estimate for a tandem that has not been tried: every second call succeeds, with the weight of two set-ups.
 constexpr double kTandemPriorProbability = 0.5, kTandemPriorWeight = 2.0;
-// A call over a tandem is set up by three processors in place of two: its worth for the work is this share.
+// A call over a tandem is set up by three processors instead of two, so its worth per unit of work is this share.
 constexpr double kTandemWorthFactor = 2.0 / 3.0;
-// Bounds of state: calls held, crowded numbers, unserved calls by number, exchanges (listed or not).
+// Limits on the size of the state: queued calls, numbers with busy lines, numbers with unserved calls, and exchanges,
+// whether in the directory or not.
 constexpr std::size_t kMaxQueuedCalls = 256, kMaxCongestedNumbers = 64, kMaxUnservedNumbers = 4096,
                       kMaxExchanges = 4096;
-// A share is not trusted before this many set-ups.
+// Shares are not relied on before this many set-ups.
 constexpr double kMinSetUpCount = 2.0;
-// A set-up that failed or broke is repeated there while at least this share of them stands.
+// A failed or broken set-up is repeated at the exchange while at least this share of its set-ups succeeds.
 constexpr double kMinRepeatSuccessShare = 0.2;
-// Processors have room for more than first tries on their own groups while the set-up delay of all is under
-// so many times its usual one (which falls at once and rises by kUsualEase of the gap, as above reversed).
+// The processors have headroom for more than first attempts on direct groups while the set-up delay of all exchanges is
+// under this multiple of its usual value. The usual value follows a lower delay at once and a higher one with
+// kUsualValueGain.
 constexpr double kHeadroomDelayFactor = 1.5;
-// A late redial leaves this share of a group to calls that can still be in time, and goes over a tandem only
-// while turn-backs are under this share of what stood so.
+// A late redial leaves this share of a trunk group to calls that can still be on time, and uses a tandem only while
+// crankbacks are under this ratio to successful calls over tandems.
 constexpr double kLateRedialReserve = 0.25;
-// A cold exchange is sent at most this share of what would push it over.
+// An exchange that is warming up is sent at most this share of the rate that would make it collapse.
 constexpr double kWarmUpRateMargin = 2.0 / 3.0;
-// Weight of the newest delay in a smoothed one, of one exchange and of all.
+// Smoothing gains of the set-up delay of one exchange and of all exchanges.
 constexpr double kDelayGain = 0.4, kPooledDelayGain = 0.1;
-// The log says of one exchange at most once in this time that it is pressed.
+// Minimum interval between log lines about the overload of the same exchange.
 constexpr TimeUs kMinLogInterval = 10 * kSecond;
 constexpr std::uint64_t kSubscribeTimerToken = std::uint64_t{1} << 40;
 
 double AsDouble(TimeUs value) { return static_cast<double>(value); }
 
-// SplitMix64: the whole of the module's randomness, from the instance's seed.
+// SplitMix64 generator, seeded per instance. It is the module's only source of randomness.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
+  // Returns a number from 0 up to, but not including, 1.
   double Uniform() {
     std::uint64_t z = (state_ += 0x9e3779b97f4a7c15U);
     z = (z ^ (z >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -96,7 +107,7 @@
   std::uint64_t state_;
 };
 
-// A count that fades: its value over tau is a rate.
+// Exponentially decaying counter. Its value divided by the time constant is a rate.
 class DecayingCounter {
  public:
   explicit DecayingCounter(double time_constant) : time_constant_(time_constant) {}
@@ -114,7 +125,8 @@
   TimeUs updated_at_ = 0;
 };
 
-// The least value of the last span heard in and the one before; 0 while never heard.
+// Minimum of the values in the current window of kDelayMinimumWindow and in the previous one that had values; 0 before
+// the first value.
 class RecentMinimum {
  public:
   void Add(TimeUs now, double value) {
@@ -132,71 +144,74 @@
   std::optional<double> current_minimum_, previous_minimum_;
 };
 
-// What became of calls sent over a tandem.
+// Numbers of set-ups that were established and that failed on some route.
 struct SetUpOutcomes {
   explicit SetUpOutcomes(double time_constant = kTandemTimeConstant)
       : established(time_constant), failed(time_constant) {}
   DecayingCounter established, failed;
 };
 
-// ---- exchange view ----
+// ---- exchange state ----
 
+// State of an exchange, as known to this softswitch.
 struct Exchange {
   DirectoryEntry entry;
-  // Circuits of the own group; -1 while never told.
+  // Circuits of the direct trunk group; -1 until reported.
   double free_circuits = -1.0;
   double total_circuits = -1.0;
-  // Reports, each with its time.
+  // Values from reports.
   double reported_queue = -1.0;
   TimeUs queue_reported_at = 0;
   DecayingCounter reported_reduction{kReportTimeConstant};
   DecayingCounter allowed_rate_reduction{kReportTimeConstant};
   double usual_allowed_rate = 0.0;
-  // What is seen from here.
+  // Values measured by this softswitch.
   std::set<std::pair<TimeUs, CallId>> unanswered_set_ups;
   RecentMinimum recent_min_delay;
-  double smoothed_delay = 0.0;  // smoothed set-up delay, direct set-ups only
+  double smoothed_delay = 0.0;  // direct set-ups only
   TimeUs delay_updated_at = 0;
-  DecayingCounter load_reduction{kReductionTimeConstant};  // own loss control
+  DecayingCounter load_reduction{kReductionTimeConstant};  // from loss control
   TimeUs back_off_until = 0;
-  unsigned consecutive_losses = 0;  // in a row
+  unsigned consecutive_losses = 0;
   TimeUs last_sent_at = 0;
-  TimeUs last_established_sent_at = 0;  // when the latest set-up was sent that stood
-  TimeUs failed_at = 0;                 // a failed connect or a death noticed from here: its start, if it is back
+  TimeUs last_established_sent_at = 0;  // when the latest set-up that was established was sent
+  TimeUs failed_at = 0;                 // when a connection attempt failed, taken as the time of a restart; 0: never
   DecayingCounter sent_set_ups{kRateTimeConstant};
-  SetUpOutcomes direct_outcomes{kRateTimeConstant};         // set-ups to it that stood, failed or broke
-  SetUpOutcomes tandem_outcomes;                            // over this tandem, wherever to
-  std::map<ExchangeId, SetUpOutcomes> second_leg_outcomes;  // to this destination, by tandem
+  SetUpOutcomes direct_outcomes{kRateTimeConstant};         // attempts there as the destination
+  SetUpOutcomes tandem_outcomes;                            // calls over this tandem, to any destination
+  std::map<ExchangeId, SetUpOutcomes> second_leg_outcomes;  // calls to this destination, by tandem
   double warm_up_tokens = 1.0;
   TimeUs warm_up_tokens_at = 0;
   TimeUs overload_logged_at = 0;
 };
 
-// ---- call table ----
+// ---- call state ----
 
+// State of a call that has been offered and is not over.
 struct Call {
   CallOffered offer;
-  TimeUs first_offered_at = 0;  // of the first try
-  TimeUs deadline = 0;          // of this try
-  bool is_late = false;         // a redial that cannot stand within the aim any more
-  double worth_density = 0.0;   // worth for a circuit and second
+  TimeUs first_offered_at = 0;  // of the caller's first attempt, see DetectRedial
+  TimeUs deadline = 0;          // time by which the call must be answered
+  bool is_late = false;         // a redial that cannot be established within the target delay any more
+  double worth_density = 0.0;   // worth per circuit and second of holding time
   bool over_quota = false;
-  double admission_draw = 0.0;  // admitted if this is over the share kept back
-  bool needs_tandem = false;    // over a tandem: no group of its own, or one too narrow
+  double admission_draw = 0.0;  // uniform random number; the call is admitted if it is not below the load reduction
+  bool needs_tandem = false;    // there is no direct trunk group, or none wide enough
   bool admitted = false;
   int attempts = 0;
-  bool attempt_pending = false;  // an attempt is out
+  bool attempt_pending = false;
   bool established = false;
   int tandem_attempts = 0;
   std::set<ExchangeId> tried_exchanges;
-  TimeUs resend_not_before = 0;  // release wait
-  TimeUs queued_until = 0;       // 0: not held
-  // The earliest attempt that may have run.
+  TimeUs resend_not_before = 0;  // end of the resend guard
+  TimeUs queued_until = 0;       // 0: not queued
+  // The first attempt that an exchange may have executed.
   bool may_have_executed = false;
   ExchangeId executing_exchange = 0;
   TimeUs executed_attempt_sent_at = 0;
 };
 
+// Recent calls to a number whose lines were busy.
 struct CalledNumber {
   DecayingCounter busy{kRateTimeConstant};
   DecayingCounter established{kRateTimeConstant};
@@ -249,8 +264,8 @@
     return settings_.topology == Topology::kMeshed && e.entry.number == settings_.own_number;
   }
 
-  // Share of its capacity that a restarted exchange can be trusted with: the least it may start with, then
-  // evenly up to the end of the longest warm-up.
+  // Returns the share of its capacity that an exchange can handle after a restart: it grows linearly from the
+  // guaranteed share at the start to 1 at the end of the longest warm-up.
   double WarmUpShare(const Exchange& e) const { return WarmUpShareSince(std::max(e.entry.since_us, e.failed_at)); }
   double WarmUpShareSince(TimeUs start) const {
     if (start == 0 || settings_.warm_up_us == 0 || now_ >= start + settings_.warm_up_us) return 1.0;
@@ -258,22 +273,25 @@
     return settings_.warm_up_start_share + (1.0 - settings_.warm_up_start_share) * elapsed_share;
   }
 
-  // ActNum of the design page.
+  // Returns the number of set-ups in progress at the exchange (ActNum in docs/design.md).
   double QueueLength(const Exchange& e) const {
     if (e.reported_queue >= 0.0 && now_ - e.queue_reported_at < kMaxQueueReportAge) return e.reported_queue;
     return static_cast<double>(e.unanswered_set_ups.size());
   }
 
+  // Returns the first ranking value of docs/design.md: set-ups in progress times the recent minimum of the set-up
+  // delay.
   double PredictedDelay(const Exchange& e) const { return QueueLength(e) * e.recent_min_delay.Get(); }
 
-  // Silence is what follows the last set-up that stood: one sent before it was lost on its way.
-  // A line of set-ups is served in order; where it is not, slowness is noticed a little later.
+  // Returns how long the oldest set-up has been unanswered, without time in which this softswitch was stalled. Only
+  // set-ups sent after the latest established one count, because an earlier one was lost in transit. This assumes that
+  // an exchange processes set-ups in order; otherwise slowness is noticed a little later.
   TimeUs OldestUnansweredAge(const Exchange& e) const {
     const auto oldest = e.unanswered_set_ups.upper_bound({e.last_established_sent_at, ~CallId{0}});
     return oldest == e.unanswered_set_ups.end() ? 0 : now_ - std::max(oldest->first, stall_ended_at_);
   }
 
-  // One health per exchange, from its symptoms: the share of set-ups to be kept from it.
+  // Returns the share of set-ups to withhold from the exchange: the largest value that any of its symptoms calls for.
   double LoadReduction(Exchange& e) {
     const double unanswered_share = AsDouble(OldestUnansweredAge(e)) / AsDouble(shortest_target_delay_);
     return std::min(1.0, std::max({e.load_reduction.ValueAt(now_), e.reported_reduction.ValueAt(now_),
@@ -294,14 +312,15 @@
     usual_pooled_delay_ = usual_pooled_delay_ == 0.0 ? pooled_delay_ : std::min(pooled_delay_, raised);
   }
 
-  // What a set-up to `e` will take: what was seen of it, and with age what was seen of all.
+  // Returns the set-up delay to expect at the exchange: its own smoothed delay, replaced by the one of all exchanges as
+  // it ages.
   double ExpectedSetUpDelay(const Exchange& e) const {
     const double own_weight =
         e.delay_updated_at == 0 ? 0.0 : std::exp(-AsDouble(now_ - e.delay_updated_at) / kReportTimeConstant);
     return own_weight * e.smoothed_delay + (1.0 - own_weight) * pooled_delay_;
   }
 
-  // A set-up delay was seen at `e`; `elapsed` of a direct set-up.
+  // Records the delay of an established direct set-up.
   void RecordSetUpDelay(Exchange& e, double elapsed) {
     e.recent_min_delay.Add(now_, elapsed);
     UpdateSmoothedDelay(e, elapsed);
@@ -315,8 +334,8 @@
     lost_set_ups_.Add(now_, std::clamp(relative_delay - 1.0, 0.0, 1.0));
   }
 
-  // What goes wrong with set-ups to most exchanges is the own processor's, or everyone's: evidence that is
-  // too thin exchange by exchange is pooled over all.
+  // Returns the share of set-ups to withhold from all exchanges. If set-ups to most exchanges are lost, the cause is
+  // the own processor or common to all. The evidence is pooled, because it is too sparse for each exchange.
   double OwnLoadReduction() {
     const double lost_share = lost_set_ups_.ValueAt(now_) /
                               (lost_set_ups_.ValueAt(now_) + established_set_ups_.ValueAt(now_) + kMinSetUpCount);
@@ -326,7 +345,7 @@
         {reduction, own != nullptr ? 1.0 - WarmUpShare(*own) : 0.0, 1.0 - WarmUpShareSince(own_failed_at_)});
   }
 
-  // An unasked report tells of the own group only.
+  // An unsolicited report covers the direct trunk group only.
   void ProcessReport(Exchange& e, const std::vector<float>& report, bool unsolicited) {
     const std::size_t n = std::min(report.size(), settings_.report_fields.size());
     for (std::size_t i = 0; i < n; ++i) {
@@ -342,7 +361,8 @@
       } else if (field == ReportField::kLoadReduction) {
         e.reported_reduction.Set(now_, std::min(1.0, value));
       } else if (field == ReportField::kAllowedRate) {
-        // The rate for all senders tells no sender its part; a dip against the usual tells of pressure.
+        // The rate is stated for all softswitches together, so it does not give this one's share. A fall below the
+        // usual value indicates overload.
         e.usual_allowed_rate = std::max(value, e.usual_allowed_rate + kUsualValueGain * (value - e.usual_allowed_rate));
         e.allowed_rate_reduction.Set(
             now_, std::max(0.0, 1.0 - value / (kAllowedRateDipThreshold * e.usual_allowed_rate + 1e-9)));
@@ -350,7 +370,7 @@
     }
   }
 
-  // ---- route choice ----
+  // ---- route selection ----
 
   const CallClass& ClassOf(const Call& call) const {
     static const CallClass kDefaultClass{};
@@ -370,14 +390,15 @@
            (settings_.topology != Topology::kMeshed || LoadReduction(e) <= kReductionStep);
   }
 
-  // The ranking ignores the second leg, which nobody tells: the chance that it lets a call through, from what
-  // stood and what was turned back there from here; what was seen of the tandem with all destinations stands
-  // in for a leg never tried, and the centre's advice counts as a call that stood.
+  // Returns the estimated probability that the second call leg, from the tandem to the destination, has a free circuit.
+  // No report covers it, and the ranking of docs/design.md ignores it. The estimate uses the outcomes of earlier calls
+  // from this softswitch over the tandem to the destination. The tandem's outcomes for all destinations are the prior
+  // estimate, and the advised tandem is credited with one successful call.
   double SuccessProbability(const Call& call, const Exchange& tandem, const Exchange& destination) const {
-    const auto probability = [this](const SetUpOutcomes& second_leg, double prior, double weight,
+    const auto probability = [this](const SetUpOutcomes& outcomes, double prior, double weight,
                                     double extra_established) {
-      const double established = second_leg.established.ValueAt(now_) + extra_established;
-      return (established + prior * weight) / (established + second_leg.failed.ValueAt(now_) + weight);
+      const double established = outcomes.established.ValueAt(now_) + extra_established;
+      return (established + prior * weight) / (established + outcomes.failed.ValueAt(now_) + weight);
     };
     const double overall = probability(tandem.tandem_outcomes, kTandemPriorProbability, kTandemPriorWeight, 0.0);
     const auto second_leg = destination.second_leg_outcomes.find(tandem.entry.exchange);
@@ -386,20 +407,24 @@
                        overall, kPriorWeight, advised ? 1.0 : 0.0);
   }
 
-  // Symptom: set-ups to all take longer than usual, or are lost: queues fill, which losses tell a set-up
-  // delay too late. Work beyond first tries on their own groups (overflow, late redials) is not taken on
-  // then, whatever fills the queues: a peak, slow processors, a storm of redials, a stall of this
-  // softswitch. May hurt where circuits are short and delays rise for another reason, such as a longer way.
+  // Returns whether the processors have headroom for more than first attempts on direct groups.
+  //
+  // Symptom: set-ups to all exchanges take longer than usual or are lost, because queues build up; losses alone show it
+  // one set-up delay too late. Further work (overflow, late redials) is then refused, whatever the cause: a traffic
+  // peak, slow processors, a redial storm, or a stall of this softswitch. It may harm where circuits are scarce and
+  // delays rise for another reason, such as a longer transmission path.
   bool HasHeadroom(Exchange& to) {
     return LoadReduction(to) <= kReductionStep && OwnLoadReduction() <= kReductionStep &&
            pooled_delay_ <= kHeadroomDelayFactor * usual_pooled_delay_;
   }
 
-  // The design's ranking among the candidates: tandems with a circuit to spare after the call and a chance
-  // near the best one's. Overflow needs processors with room and a call that is not late, and is thinned to
-  // the chance that one of two tandems lets it through, from the turn-backs to all destinations: to one of
-  // them a sender of a large network sends too seldom. A caller has one draw: a held call is routed anew at
-  // each event, and with a draw each time any thinning lets it through at last.
+  // Selects a tandem or pool by the ranking of docs/design.md; null if there is none. Candidates keep a circuit free
+  // after the call and have a success probability near the best one.
+  //
+  // Overflow from a direct group also requires headroom and a call that is not late. It is permitted at random, with
+  // the probability that one of two tandems succeeds. This is estimated from the crankbacks for all destinations,
+  // because a softswitch in a large network sends too few calls to one destination. Each caller has a single random
+  // draw: a queued call is routed again at every event, and with a new draw each time it would eventually be permitted.
   Exchange* SelectTandem(const Call& call, Exchange* destination) {
     const bool is_meshed = settings_.topology == Topology::kMeshed && destination != nullptr;
     if (is_meshed && !call.needs_tandem) {
@@ -429,7 +454,7 @@
     return best;
   }
 
-  // A transit call goes on, while a circuit is free and no processor is pressed, or is turned back.
+  // Sends a transit call on if a circuit is free and neither processor is overloaded, or else returns it (crankback).
   void RouteTransitCall(CallId id, Call& call, Exchange* next_exchange) {
     const bool may_send =
         call.attempts == 0 && next_exchange != nullptr && next_exchange->free_circuits >= call.offer.width;
@@ -439,7 +464,7 @@
     AnswerCall(id, call, false);
   }
 
-  // Sends the call on, holds it, or answers it: the ordinary path and the extensions around it.
+  // Sends, queues or answers the call: the basic procedure and its extensions.
   void RouteCall(CallId id, Call& call) {
     if (call.attempt_pending || call.established) return;
     if (call.queued_until > 0 && call.queued_until <= std::min(now_, call.resend_not_before)) RemoveFromQueue(id, call);
@@ -462,7 +487,7 @@
       return AnswerCall(id, call, true);
     }
     if (direct) {
-      // To a pressed exchange one set-up at a time: a further one would only lengthen its queue.
+      // An overloaded exchange gets one set-up at a time, because more would only lengthen its queue.
       const bool at_limit =
           LoadReduction(*destination) > kOverloadThreshold && !destination->unanswered_set_ups.empty();
       const bool has_circuit =
@@ -480,8 +505,9 @@
     QueueOrRefuse(id, call, destination, direct);
   }
 
-  // A call waits (for a circuit, a release, a trial) only while something can still serve it: the direct
-  // group, or a tandem or pool that is wide enough and may be sent to. Once that is gone it is answered.
+  // Returns whether something can still serve the call: the direct group, or a tandem or pool that is wide enough and
+  // may be used. A call waits (for a circuit, the resend guard, or a trial) only as long as that is so, and is answered
+  // at once otherwise.
   bool CanStillBeServed(const Call& call, const Exchange* destination, bool direct) {
     return direct || std::any_of(exchanges_.begin(), exchanges_.end(), [&](auto& x) {
              return &x.second != destination && x.second.total_circuits > call.offer.width &&
@@ -496,7 +522,8 @@
     SetCallTimer(id, until);
   }
 
-  // Nothing has room: held for a circuit while a set-up could still stand within the aim.
+  // Queues the call for a circuit while a set-up can still be established within the target delay; refuses it
+  // otherwise.
   void QueueOrRefuse(CallId id, Call& call, const Exchange* destination, bool direct) {
     const double set_up_delay = destination != nullptr ? ExpectedSetUpDelay(*destination) : 0.0;
     const double max_wait = std::min(kMaxQueueWaitShare * AsDouble(TargetDelay(call)),
@@ -507,7 +534,8 @@
     QueueCall(id, call, std::min(until, call.deadline - kAnswerMargin));
   }
 
-  // A freed circuit goes to the held call of most worth first; a narrower one of less worth does not pass it.
+  // Returns whether a queued call for the exchange has precedence. A released circuit goes to the queued call with the
+  // highest worth density first; a narrower call of lower density does not overtake it.
   bool IsBehindQueuedCall(const Call& call, const Exchange& e) const {
     for (const auto& [negative_density, id] : queued_calls_) {
       if (-negative_density <= call.worth_density) return false;
@@ -534,14 +562,16 @@
     return target_delay > 0 ? target_delay : kSecond;
   }
 
+  // Returns whether an attempt that starts now, or after the resend guard, is too late: the time budget ends, or a
+  // further attempt would start after the target delay.
   bool IsOutOfTime(const Call& call) const {
     const TimeUs at = std::max(now_, call.resend_not_before);
     return at + kAnswerMargin >= call.deadline ||
            (call.attempts > 0 && at >= call.first_offered_at + TargetDelay(call));
   }
 
-  // A call to a number whose last call from here was not served is that caller's redial: its aim runs from
-  // the first try. Marks, where there are any, say no more than that.
+  // Recognises the call as a redial if the last call to the same number from here was not served. The target delay of a
+  // redial runs from the first attempt. Marks of redials, where available, add no further information.
   void DetectRedial(Call& call) {
     const auto first = unserved_since_.find(call.offer.number_called);
     if (call.offer.in_transit || call.offer.number_called == 0 || first == unserved_since_.end()) return;
@@ -565,7 +595,7 @@
            (call.over_quota ? settings_.over_quota_worth : 1.0) * (call.is_late ? ClassOf(call).late_worth : 1.0);
   }
 
-  // Loss control (RFC 7339) by worth: of the calls offered lately the least worth go first.
+  // Loss control (RFC 7339) by worth: of the calls offered recently, those with the lowest worth are refused first.
   bool ShouldAdmit(const Call& call, Exchange* destination) {
     if (IsNumberGapped(call)) return false;
     if (call.is_late && destination != nullptr && !CanAdmitLateRedial(call, *destination)) return false;
@@ -577,20 +607,22 @@
       (w < worth ? below : equal) += w <= worth ? n : 0.0;
     }
     double destination_reduction = destination != nullptr ? LoadReduction(*destination) : 0.0;
-    // Who hangs up before a set-up can stand costs processors work for nothing: such calls get trials only.
+    // A caller who hangs up before a set-up can be established causes useless work for processors; such calls serve as
+    // trial set-ups only.
     if (destination != nullptr && AsDouble(call.deadline - now_) < ExpectedSetUpDelay(*destination))
       destination_reduction = 1.0;
     const double reduction = 1.0 - (1.0 - destination_reduction) * (1.0 - OwnLoadReduction());
+    // Share of the calls of this worth to be refused.
     const double class_reduction = equal > 0.0 ? std::clamp((reduction * all - below) / equal, 0.0, 1.0) : reduction;
     if (class_reduction <= 0.0 || call.admission_draw >= class_reduction) return true;
-    // The trickle by which a recovery is seen.
+    // Trial set-ups are admitted at a low rate so that a recovery is noticed.
     return destination != nullptr && now_ >= destination->last_sent_at + trial_interval_ &&
            OldestUnansweredAge(*destination) < shortest_target_delay_ && OwnLoadReduction() < kOverloadThreshold;
   }
 
-  // A late redial earns a share of the worth, and its circuits are missed by calls that can be in time: it
-  // leaves a part of the direct group, or goes over a tandem while few calls are turned back. May hurt where
-  // late calls are worth nearly as much.
+  // Returns whether a late redial may be served. It earns only a share of the worth, and the circuits it takes may be
+  // missing for calls that can be on time. It therefore has to leave a part of the direct group free, or may use a
+  // tandem while few calls are returned. It may harm where late calls are worth nearly as much as others.
   bool CanAdmitLateRedial(const Call& call, Exchange& to) {
     if (!HasHeadroom(to)) return false;
     if (call.needs_tandem)
@@ -599,7 +631,10 @@
     return to.free_circuits < 0.0 || to.free_circuits - call.offer.width >= kLateRedialReserve * to.total_circuits;
   }
 
-  // Symptom: that number. Its lines are busy most of the time, so trials are gapped.
+  // Returns whether call gapping refuses a call to this number now.
+  //
+  // Symptom: the lines of the called number are busy most of the time. Trial set-ups to the number are limited to one
+  // per trial interval.
   bool IsNumberGapped(const Call& call) {
     const auto found = congested_numbers_.find(call.offer.number_called);
     if (call.offer.number_called == 0 || found == congested_numbers_.end()) return false;
@@ -608,9 +643,9 @@
     return now_ < n.last_sent_at + trial_interval_;
   }
 
-  // ---- guards: the rules are kept here ----
+  // ---- guards that enforce the protocol rules ----
 
-  // Drains, and whether a repeat is legal there.
+  // Returns whether a set-up may be sent to the exchange: it is ready and not backed off, and a repeat is safe there.
   bool CanSendTo(const Call& call, const Exchange& e) const {
     if (e.entry.status != ExchangeStatus::kReady || now_ < e.back_off_until || now_ < own_back_off_until_) return false;
     if (!call.may_have_executed) return true;
@@ -626,9 +661,10 @@
                                                               : executing->second.entry.number == e.entry.number;
   }
 
-  // The cold budget: this sender's part of what a restarted exchange can take, from the rate at which warm
-  // ones are sent to from here, times the warmth, under the multiple at which it falls over. A sender of
-  // little traffic has its part of one set-up a second from all.
+  // Returns whether the warm-up budget of a restarted exchange permits a set-up now, and deducts it. The budget is a
+  // token bucket. Its rate is this softswitch's part of what the exchange can handle, estimated from the rate at which
+  // this softswitch sends to each warmed-up exchange, times the warm-up share and a multiple that is safely under the
+  // collapse multiple. With little traffic, it is this softswitch's part of one set-up per second from all.
   bool TryConsumeWarmUpToken(Exchange& e) {
     const double warm_up_share = WarmUpShare(e);
     if (warm_up_share >= 1.0) return true;
@@ -643,7 +679,8 @@
     const double rate_multiple =
         settings_.collapse_multiple > 0.0 ? kWarmUpRateMargin * settings_.collapse_multiple : 2.0;
     e.warm_up_tokens += rate_multiple * own_rate * AsDouble(now_ - e.warm_up_tokens_at) / AsDouble(kSecond);
-    // By chance two calls come close together: half warm and on, a sender saves up towards the second.
+    // Two calls may arrive close together by chance: from half of the capacity on, tokens for a second set-up
+    // accumulate.
     e.warm_up_tokens = std::min(std::max(1.0, 2.0 * warm_up_share), e.warm_up_tokens);
     e.warm_up_tokens_at = now_;
     if (e.warm_up_tokens < 1.0) return false;
@@ -651,7 +688,8 @@
     return true;
   }
 
-  // The one path of every send. One attempt out, the release wait, the list, the own exchange: checked here.
+  // The only function that sends set-ups. It enforces: a single pending attempt, the resend guard, the status of the
+  // exchange, and no set-up to the own exchange.
   void SendSetUpTo(CallId id, Call& call, Exchange& e) {
     if (call.attempt_pending || call.established || now_ < call.resend_not_before || IsOwn(e) || !CanSendTo(call, e))
       return;
@@ -673,7 +711,8 @@
     actions_->push_back(SendSetUp{id, e.entry.exchange, until - now_});
   }
 
-  // The one path of every final answer. A refusal invites a repeat, so it is given only where one is legal.
+  // The only function that gives final answers. A refusal invites the caller to repeat the call, so it is given only if
+  // a repeat is safe.
   void AnswerCall(CallId id, Call& call, bool failed) {
     if (call.attempt_pending || call.established) return;
     const CallClass& c = ClassOf(call);
@@ -689,7 +728,8 @@
     EraseCall(id);
   }
 
-  // Where callers heed it, a call refused for want of room is told to stay away as long as they will.
+  // Returns the retry-after of a refusal: where callers observe it, a call refused for lack of headroom gets the
+  // longest permitted time.
   TimeUs RetryAfterFor(const Call& call) {
     Exchange* to = FindByNumber(call.offer.destination);
     const bool states_retry_after =
@@ -728,9 +768,10 @@
     for (const DirectoryEntry& entry : update.entries) {
       Exchange& e = exchanges_[entry.exchange];
       if (entry.since_us > e.entry.since_us) {
-        // A fresh start: what was learnt of the old process does not hold.
+        // After a restart, observations of the former process do not apply.
         e.load_reduction.Set(now_, 0.0);
-        e.warm_up_tokens = random_.Uniform();  // the first set-ups of many senders must not come at once
+        e.warm_up_tokens =
+            random_.Uniform();  // at random, so that the first set-ups of many softswitches do not coincide
         e.warm_up_tokens_at = now_;
         e.failed_at = 0;
         e.reported_queue = -1.0;
@@ -743,7 +784,7 @@
         return x.second.entry.status == ExchangeStatus::kGone && x.second.unanswered_set_ups.empty();
       });
     }
-    // The exchange that has a number now: a machine that replaced another has the same one.
+    // Select the current exchange for each number; a replacement machine takes over the number.
     const auto rank = [](const Exchange& x) {
       return std::make_pair(x.entry.status == ExchangeStatus::kReady, x.entry.since_us);
     };
@@ -761,7 +802,8 @@
     if (!(call.offer.width > 0.0)) call.offer.width = 1.0;
     call.first_offered_at = now_;
     call.deadline = now_ + offer.budget_us;
-    // A call read after an own stall has waited: as long as its budget is short of the longest, at most.
+    // A call that is read after a stall of this softswitch has waited, at most by the time that its budget falls short
+    // of the longest budget of its class.
     if (!offer.in_transit) {
       TimeUs& max_budget = max_budget_by_class_[offer.call_class];
       max_budget = std::max(max_budget, offer.budget_us);
@@ -769,7 +811,7 @@
       call.is_late = AsDouble(now_ - call.first_offered_at) > kMaxQueueWaitShare * AsDouble(TargetDelay(call));
     }
     DetectRedial(call);
-    // One draw for a caller's tries: whoever dials a dozen times must not get a dozen draws.
+    // All attempts of a caller share one random draw; otherwise, a dozen redials would get a dozen draws.
     call.admission_draw = offer.number_called == 0
                               ? random_.Uniform()
                               : Random(seed_ ^ offer.number_called ^ call.first_offered_at << 20U).Uniform();
@@ -779,8 +821,8 @@
       const double quota = settings_.customers[customer].quota_per_s / std::max(1, settings_.softswitch_count);
       call.over_quota = quota > 0.0 && random_.Uniform() * customer_rates_[customer].RatePerSecond(now_) > quota;
     }
-    // A pair without a group, or with one too narrow for the call, is planned over a tandem: its calls
-    // overflow nothing.
+    // A pair of exchanges without a direct group, or with one too narrow for the call, is planned via a tandem; such a
+    // call is not overflow.
     const Exchange* to = settings_.topology == Topology::kMeshed ? FindByNumber(offer.destination) : nullptr;
     call.needs_tandem =
         !offer.in_transit && to != nullptr && to->total_circuits >= 0.0 && to->total_circuits < call.offer.width;
@@ -792,7 +834,7 @@
     RouteCall(offer.call, stored);
   }
 
-  // Takes the attempt off the exchange's unanswered set-ups; returns when it was sent.
+  // Removes the attempt from the unanswered set-ups of the exchange. Returns when it was sent, or 0 if it is unknown.
   TimeUs SettleAttempt(CallId id, int attempt, Exchange* e) {
     const auto sent = sent_at_.find({id, attempt});
     if (sent == sent_at_.end()) return 0;
@@ -824,7 +866,7 @@
     RouteQueuedCalls();
   }
 
-  // What became of a call sent over `tandem`.
+  // Records the outcome of a call that was sent via `tandem`.
   void RecordTandemOutcome(const Call& call, Exchange& tandem, DecayingCounter SetUpOutcomes::*outcome) {
     Exchange* to = FindByNumber(call.offer.destination);
     if (to == nullptr) return;
@@ -882,35 +924,36 @@
       return;
     e.overload_logged_at = now_;
     char text[160];
-    std::snprintf(text, sizeof(text), "exchange number %d pressed: keeping back %.0f%%, delay %.0f ms, %zu unanswered",
+    std::snprintf(text, sizeof(text),
+                  "exchange number %d overloaded: withholding %.0f%% of set-ups, delay %.0f ms, %zu unanswered",
                   e.entry.number, 100.0 * reduction, e.smoothed_delay / 1000.0, e.unanswered_set_ups.size());
     actions_->push_back(WriteLog{text});
   }
 
-  // Symptom: set-ups lost in a row. None follows for 1, 2, 4 ... s, up to the trial gap, so that the queue of
-  // a jammed processor drains though a sender sees little of it. Serves a hang too; may harm a quick
-  // recovery.
+  // Symptom: consecutive lost set-ups. The exchange gets none for 1, 2, 4 ... seconds, up to the trial interval, so
+  // that the queue of an overloaded processor drains even though one softswitch sees little of it. It also helps
+  // against a hanging process, and may delay the detection of a quick recovery.
   void BackOff(Exchange& e, TimeUs stated_wait) {
     const TimeUs back_off = std::min(trial_interval_, kInitialBackOff << std::min(e.consecutive_losses++, 8U));
     e.back_off_until = std::max(e.back_off_until, now_ + std::max(back_off, stated_wait));
   }
 
-  // Symptom: connections to an exchange do not come up, and no word of discovery. Set-ups would go on to it until each
-  // has timed out; none does for a rest, which ends by itself. A suspicion tells nothing else: its processor is not
-  // pressed and it is not cold for it, as it may be this softswitch alone that is cut off. Serves a machine that
-  // vanished; turns calls away for a rest after it is back.
+  // Symptom: connections to an exchange cannot be established, and discovery does not list it as gone. Set-ups would be
+  // sent until each has timed out, so none is sent for a limited back-off. Nothing else is concluded: the exchange
+  // counts neither as overloaded nor as restarted, because this softswitch alone may be cut off. It helps if a machine
+  // has vanished, and refuses calls for the rest of the back-off after its return.
   void BackOffUnreachable(Exchange& e) { e.back_off_until = std::max(e.back_off_until, now_ + kInitialBackOff); }
 
-  // What the end of a set-up tells of the exchange.
+  // Draws conclusions about the exchange from the end of an attempt.
   void LearnFromAttempt(Exchange& e, Call* call, const AttemptEnded& ended, bool direct, TimeUs sent_at) {
     Exchange* overloaded = &e;
-    // Callers of short patience end a set-up before it tells anything of the far end.
+    // A set-up that ends early, because its caller is impatient, says little about the exchange.
     const double weight = std::min(1.0, AsDouble(ended.elapsed_us) / AsDouble(shortest_target_delay_));
     if (!direct && ended.outcome != Outcome::kNotSent) RecordTandemOutcome(*call, e, &SetUpOutcomes::failed);
     if (direct && call != nullptr && IsUnexplainedFailure(ended)) e.direct_outcomes.failed.Add(now_, 1.0);
     switch (ended.outcome) {
       case Outcome::kTimeout:
-        // Lost on its way: set-ups sent after it stood.
+        // It was lost in transit, because a set-up that was sent later has been established.
         if (sent_at <= e.last_established_sent_at && sent_at > 0) break;
         if (direct && AsDouble(ended.elapsed_us) > ExpectedSetUpDelay(e))
           UpdateSmoothedDelay(e, AsDouble(ended.elapsed_us));
@@ -951,9 +994,12 @@
     }
   }
 
-  // Symptom: set-ups to an exchange fail or break, for no reason told, while others stand: an ailing one,
-  // answers spoilt on their way, connections that break. One that may be repeated goes there once more, while
-  // it is likely to stand. Costs work where what fails is the call itself, whoever carries it.
+  // Returns whether a failed direct set-up should be sent to the same exchange again.
+  //
+  // Symptom: set-ups to an exchange fail or break without a stated reason while others succeed: a faulty exchange,
+  // answers corrupted in transit, or broken connections. A set-up that may be repeated is sent there once more while it
+  // is likely to succeed. It costs useless work where the call itself causes the failure, whichever exchange handles
+  // it.
   bool ShouldRepeatDirect(const Call& call, const AttemptEnded& ended) {
     Exchange* e = FindExchange(ended.exchange);
     if (!IsUnexplainedFailure(ended) || e == nullptr) return false;
@@ -966,7 +1012,7 @@
     return ended.outcome == Outcome::kReset || (ended.outcome == Outcome::kError && ended.cause == RejectCause::kNone);
   }
 
-  // The attempt is over without a final answer: another route, the same one again, or an answer.
+  // Continues after an attempt without a final answer: with another route, the same one again, or an answer.
   void ContinueCall(CallId id, Call& call, const AttemptEnded& ended, bool direct) {
     const bool timed_out = ended.outcome == Outcome::kTimeout;
     const bool repeat = direct && ShouldRepeatDirect(call, ended);
@@ -975,7 +1021,7 @@
       if (call.offer.in_transit || (direct && !repeat) || timed_out) return AnswerCall(id, call, true);
     }
     if (ended.outcome == Outcome::kError && !repeat) return AnswerCall(id, call, true);
-    // The exchange is none the worse for a connection that broke before it was open, and it has seen nothing.
+    // A connection that broke before it was open says nothing about the exchange, which has not received the set-up.
     if (repeat || ended.cause == RejectCause::kConnectionLost) call.tried_exchanges.erase(ended.exchange);
     if (ended.outcome == Outcome::kRejected && (direct || ended.cause == RejectCause::kCrankbackProcessorFull))
       return AnswerCall(id, call, false);
@@ -1015,22 +1061,23 @@
   const std::uint64_t seed_;
   Random random_;
   TimeUs now_ = 0, shortest_target_delay_ = 0, trial_interval_ = 0, own_failed_at_ = 0, own_back_off_until_ = 0;
-  TimeUs stall_ended_at_ = 0, stall_duration_ = 0;  // silence before the first, for the second, was our own
-  std::map<int, TimeUs> max_budget_by_class_;       // by class
+  // Latest stall of this softswitch: silence in this time does not indicate slow exchanges.
+  TimeUs stall_ended_at_ = 0, stall_duration_ = 0;
+  std::map<int, TimeUs> max_budget_by_class_;
   std::vector<Action>* actions_ = nullptr;
   std::map<ExchangeId, Exchange> exchanges_;
   std::map<int, Exchange*> exchanges_by_number_;
   std::map<CallId, Call> calls_;
-  std::map<std::pair<CallId, int>, TimeUs> sent_at_;
-  std::set<std::pair<double, CallId>> queued_calls_;
+  std::map<std::pair<CallId, int>, TimeUs> sent_at_;  // of unanswered set-ups, by call and attempt
+  std::set<std::pair<double, CallId>> queued_calls_;  // by negative worth density
   std::map<std::uint64_t, CalledNumber> congested_numbers_;
-  std::map<std::uint64_t, TimeUs> unserved_since_;
+  std::map<std::uint64_t, TimeUs> unserved_since_;  // first offer of the latest unserved call, by number
   std::map<double, DecayingCounter> offered_by_worth_;
   std::vector<DecayingCounter> customer_rates_;
-  DecayingCounter lost_set_ups_{kPooledRateTimeConstant},
-      established_set_ups_{kPooledRateTimeConstant};      // set-ups to all, lost at a processor or standing
-  SetUpOutcomes tandem_outcomes_{kRateTimeConstant};      // over any tandem, to any destination
-  double pooled_delay_ = 0.0, usual_pooled_delay_ = 0.0;  // smoothed set-up delay to all exchanges
+  // Set-ups to all exchanges.
+  DecayingCounter lost_set_ups_{kPooledRateTimeConstant}, established_set_ups_{kPooledRateTimeConstant};
+  SetUpOutcomes tandem_outcomes_{kRateTimeConstant};      // calls over any tandem to any destination
+  double pooled_delay_ = 0.0, usual_pooled_delay_ = 0.0;  // smoothed set-up delay of all exchanges
 };
 
 CallController::CallController(const Settings& settings, std::uint64_t seed, TimeUs now, std::vector<Action>* actions)
