--- a/src/call_controller.cpp
+++ b/src/call_controller.cpp
@@ -770,8 +770,7 @@
       if (entry.since_us > e.entry.since_us) {
         // After a restart, observations of the former process do not apply.
         e.load_reduction.Set(now_, 0.0);
-        e.warm_up_tokens =
-            random_.Uniform();  // at random, so that the first set-ups of many softswitches do not coincide
+        e.warm_up_tokens = random_.Uniform();  // so that the first set-ups of many softswitches do not coincide
         e.warm_up_tokens_at = now_;
         e.failed_at = 0;
         e.reported_queue = -1.0;
