--- a/src/core/decider.h
+++ b/src/core/decider.h
@@ -1,8 +1,8 @@
-// Who decides about calls: the seam at which the module stands in the call core.
+// Interface between the call core and the component that decides about calls.
 //
-// The product has one decider, the module. The laboratory puts others in its place, to know what a decision
-// is worth; they get the same events and answer with the same actions, and the core holds them to the same
-// word.
+// The product has one implementation, the module (CallController). The laboratory replaces it with others to measure
+// the benefit of its decisions; they receive the same events and return the same actions, and the core applies the same
+// rules to them.
 #ifndef CROFTRUN_CORE_DECIDER_H_
 #define CROFTRUN_CORE_DECIDER_H_
 
@@ -14,18 +14,19 @@
 
 namespace croftrun::core {
 
+// Makes the routing and admission decisions of one softswitch.
 class Decider {
  public:
   virtual ~Decider() = default;
-  // Appends what is to be done about `event`, which happened at `now`; never re-entered.
+  // Appends the actions in response to `event`, which happened at `now`, to `actions`. It is not called recursively.
   virtual void Handle(TimeUs now, const Event& event, std::vector<Action>* actions) = 0;
 };
 
-// Actions of the start itself are appended.
+// Creates a decider; appends the actions required at the start to the vector.
 using MakeDecider = std::function<std::unique_ptr<Decider>(const Settings&, std::uint64_t seed, TimeUs now,
                                                            std::vector<Action>* actions)>;
 
-// The module.
+// Adapter for the module.
 class ModuleDecider final : public Decider {
  public:
   ModuleDecider(const Settings& settings, std::uint64_t seed, TimeUs now, std::vector<Action>* actions)
--- a/src/lab/baselines.h
+++ b/src/lab/baselines.h
@@ -1,5 +1,5 @@
-// Textbook deciders, to know what the module's decisions are worth: the same events, the same actions, the
-// same core. For the laboratory only.
+// Simple routing policies from the literature, with which the laboratory compares the module's decisions. They receive
+// the same events and return the same actions through the same call core. For the laboratory only.
 #ifndef CROFTRUN_LAB_BASELINES_H_
 #define CROFTRUN_LAB_BASELINES_H_
 
@@ -11,9 +11,10 @@
 
 namespace croftrun::lab {
 
-// "module" first, then the baselines.
+// Returns the names of all deciders: "module", then the baselines.
 const std::vector<std::string>& DeciderNames();
-// Empty for the module; throws std::invalid_argument for a name that is none of DeciderNames.
+// Returns the factory for a decider, which is empty for the module. Throws std::invalid_argument for a name that is not
+// in DeciderNames.
 core::MakeDecider DeciderNamed(std::string_view name);
 
 }  // namespace croftrun::lab
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,4 +1,4 @@
-// The ordinary path, the guards, and one test for each failure found.
+// Tests of the call controller: routing, protocol rules, load control, queueing, and one test for each failure found.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,287 +11,290 @@
 namespace croftrun {
 namespace {
 
-TEST(OrdinaryPath, DirectWhileTheOwnGroupHasRoom) {
-  Bench b;
-  b.Circuits(1, 1.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 1);
-}
-
-TEST(OrdinaryPath, OverflowKeepsACircuitFreeOnTheFirstLeg) {
-  Bench b;
-  b.Circuits(1, 0.0F);
-  b.Circuits(2, 1.0F);
-  b.Circuits(3, 0.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), -1);
-  Bench c;
-  c.Circuits(1, 0.0F);
-  c.Circuits(2, 20.0F);
-  c.Circuits(3, 1.0F);
-  c.Offer(1);
-  EXPECT_EQ(c.SentTo(), 2);
-}
-
-TEST(OrdinaryPath, LeastQueueTimesServiceTimeByReport) {
-  Bench b;
-  b.Complete(2, 5.0F, -1.0F);
-  b.Complete(3, 2.0F, -1.0F);
-  b.Circuits(2, 20.0F);
-  b.Circuits(3, 19.0F);
-  b.Circuits(1, 0.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 3);
-}
-
-TEST(OrdinaryPath, OwnUnansweredCountWithoutAFreshReport) {
-  Bench b;
-  // The reports say that 2 is idle and 3 is not, but they will be old.
-  b.Complete(2, 0.0F, -1.0F);
-  b.Complete(3, 9.0F, -1.0F);
-  b.now += 2000 * kMs;
-  b.Offer(2);
-  b.Circuits(2, 20.0F);
-  b.Circuits(1, 0.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 3);
-}
-
-TEST(OrdinaryPath, TiesGoToMostFreeCircuitsThenToChance) {
-  Bench b;
-  b.Circuits(1, 0.0F);
-  b.Circuits(2, 10.0F);
-  b.Circuits(3, 12.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 3);
+TEST(ControllerRouting, UsesDirectGroupWithFreeCircuit) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 1.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 1);
+}
+
+TEST(ControllerRouting, OverflowLeavesLastCircuitOfFirstLegFree) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F);
+  fixture.ReportCircuits(2, 1.0F);
+  fixture.ReportCircuits(3, 0.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), -1);
+  ControllerFixture other;
+  other.ReportCircuits(1, 0.0F);
+  other.ReportCircuits(2, 20.0F);
+  other.ReportCircuits(3, 1.0F);
+  other.OfferCall(1);
+  EXPECT_EQ(other.SentTo(), 2);
+}
+
+TEST(ControllerRouting, SelectsTandemWithShortestReportedQueue) {
+  ControllerFixture fixture;
+  fixture.CompleteCall(2, 5.0F, -1.0F);
+  fixture.CompleteCall(3, 2.0F, -1.0F);
+  fixture.ReportCircuits(2, 20.0F);
+  fixture.ReportCircuits(3, 19.0F);
+  fixture.ReportCircuits(1, 0.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 3);
+}
+
+TEST(ControllerRouting, UsesOwnUnansweredCountWhenReportIsOld) {
+  ControllerFixture fixture;
+  // The reports state that exchange 2 is idle and 3 is not, but they are too old to be used.
+  fixture.CompleteCall(2, 0.0F, -1.0F);
+  fixture.CompleteCall(3, 9.0F, -1.0F);
+  fixture.now += 2000 * kMs;
+  fixture.OfferCall(2);
+  fixture.ReportCircuits(2, 20.0F);
+  fixture.ReportCircuits(1, 0.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 3);
+}
+
+TEST(ControllerRouting, BreaksTiesByFreeCircuitsThenAtRandom) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F);
+  fixture.ReportCircuits(2, 10.0F);
+  fixture.ReportCircuits(3, 12.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 3);
   std::set<int> chosen;
   for (std::uint64_t seed = 1; seed < 20; ++seed) {
-    Bench c(PlainSettings(), seed);
-    c.Circuits(1, 0.0F);
-    c.Offer(1);
-    chosen.insert(c.SentTo());
+    ControllerFixture other(TestSettings(), seed);
+    other.ReportCircuits(1, 0.0F);
+    other.OfferCall(1);
+    chosen.insert(other.SentTo());
   }
   EXPECT_EQ(chosen, (std::set<int>{2, 3}));
 }
 
-TEST(OrdinaryPath, OneFurtherTandemAfterATurnBackThenNoMore) {
+TEST(ControllerRouting, TriesOneFurtherTandemAfterCrankback) {
   for (std::uint64_t seed = 1; seed < 40; ++seed) {
-    Bench b(PlainSettings(), seed);
-    b.Circuits(1, 0.0F);
-    const CallId call = b.Offer(1);
-    const int first = b.SentTo();
+    ControllerFixture fixture(TestSettings(), seed);
+    fixture.ReportCircuits(1, 0.0F);
+    const CallId call = fixture.OfferCall(1);
+    const int first = fixture.SentTo();
     ASSERT_GT(first, 1);
-    b.End(call, first, Outcome::kRejected, RejectCause::kCrankback);
-    const int second = b.SentTo();
-    if (second < 0) continue;  // overflow is being thinned
+    fixture.EndAttempt(call, first, Outcome::kRejected, RejectCause::kCrankback);
+    const int second = fixture.SentTo();
+    if (second < 0) continue;  // the overflow was refused at random
     EXPECT_EQ(second, 5 - first);
-    b.End(call, second, Outcome::kRejected, RejectCause::kCrankback, 1);
-    EXPECT_EQ(b.SentTo(), -1);
+    fixture.EndAttempt(call, second, Outcome::kRejected, RejectCause::kCrankback, 1);
+    EXPECT_EQ(fixture.SentTo(), -1);
     return;
   }
-  FAIL() << "never a second tandem";
+  FAIL() << "no seed led to a second tandem";
 }
 
-TEST(OrdinaryPath, TransitGoesOnOrIsTurnedBack) {
-  Bench b;
-  b.Transit(1);
-  EXPECT_EQ(b.SentTo(), 1);
-  b.Circuits(2, 1.0F);  // nothing is reserved on the second leg
-  b.Transit(2);
-  EXPECT_EQ(b.SentTo(), 2);
-  b.Circuits(2, 0.0F);
-  b.Transit(2);
-  EXPECT_EQ(b.SentTo(), -1);
-  EXPECT_TRUE(b.Refused());
+TEST(ControllerRouting, SendsTransitCallOnOrReturnsIt) {
+  ControllerFixture fixture;
+  fixture.OfferTransitCall(1);
+  EXPECT_EQ(fixture.SentTo(), 1);
+  fixture.ReportCircuits(2, 1.0F);  // no circuit is reserved on the second leg
+  fixture.OfferTransitCall(2);
+  EXPECT_EQ(fixture.SentTo(), 2);
+  fixture.ReportCircuits(2, 0.0F);
+  fixture.OfferTransitCall(2);
+  EXPECT_EQ(fixture.SentTo(), -1);
+  EXPECT_TRUE(fixture.IsRefused());
 }
 
-TEST(Rules, TransitThatFailsOnwardIsTurnedBackAtOnce) {
-  Bench b;
-  const CallId call = b.Transit(1);
-  b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
-  EXPECT_TRUE(b.Refused());
-  EXPECT_EQ(b.SentTo(), -1);
+TEST(ControllerRules, ReturnsTransitCallWhenOnwardAttemptFails) {
+  ControllerFixture fixture;
+  const CallId call = fixture.OfferTransitCall(1);
+  fixture.EndAttempt(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
+  EXPECT_TRUE(fixture.IsRefused());
+  EXPECT_EQ(fixture.SentTo(), -1);
 }
 
-TEST(Rules, NothingNewToADrainingOrGoneExchange) {
+TEST(ControllerRules, SendsNothingToDrainingOrGoneExchange) {
   for (const auto status : {ExchangeStatus::kDraining, ExchangeStatus::kGone}) {
-    Bench b;
-    b.Status(1, status);
-    b.Offer(1);
-    EXPECT_EQ(b.SentTo(), -1);
-    EXPECT_TRUE(b.Refused());
-    b.Circuits(2, 0.0F);
-    b.Status(3, status);
-    b.Offer(2);
-    EXPECT_EQ(b.SentTo(), -1);
+    ControllerFixture fixture;
+    fixture.SetStatus(1, status);
+    fixture.OfferCall(1);
+    EXPECT_EQ(fixture.SentTo(), -1);
+    EXPECT_TRUE(fixture.IsRefused());
+    fixture.ReportCircuits(2, 0.0F);
+    fixture.SetStatus(3, status);
+    fixture.OfferCall(2);
+    EXPECT_EQ(fixture.SentTo(), -1);
   }
 }
 
-TEST(Rules, AbsentFromAFullListIsGone) {
-  Bench b;
+TEST(ControllerRules, TreatsExchangeMissingFromFullDirectoryAsGone) {
+  ControllerFixture fixture;
   DirectoryUpdate list;
-  list.entries.push_back({.exchange = Bench::Id(2), .number = 2});
-  b.Do(list);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), -1);
+  list.entries.push_back({.exchange = ControllerFixture::IdOf(2), .number = 2});
+  fixture.Handle(list);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), -1);
 }
 
-TEST(Rules, TheReleaseIsAwaited) {
-  Bench b;
-  b.Circuits(1, 0.0F);
-  const CallId call = b.Offer(1);
-  const int tandem = b.SentTo();
+TEST(ControllerRules, WaitsForResendGuardAfterReset) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  const int tandem = fixture.SentTo();
   ASSERT_GT(tandem, 1);
-  b.Circuits(1, 5.0F);
-  b.End(call, tandem, Outcome::kReset);
-  EXPECT_EQ(b.SentTo(), -1);
-  b.now += 299 * kMs;
-  b.Circuits(1, 6.0F);
-  b.Do(TimerExpired{call});
-  EXPECT_EQ(b.SentTo(), -1);
-  b.now += 1 * kMs;
-  b.Do(TimerExpired{call});
-  EXPECT_EQ(b.SentTo(), 1);
-}
-
-TEST(Rules, ATimeoutAtTheDeadlineIsAnsweredAtOnce) {
-  Bench b;
-  const CallId call = b.Offer(1);
-  b.now += 3000 * kMs;
-  b.End(call, 1, Outcome::kTimeout);
-  EXPECT_TRUE(b.Failed());
-  b.Do(CallAbandoned{call});
-  EXPECT_TRUE(b.actions.empty());
-}
-
-TEST(Rules, AReleaseWaitNeverOutlastsTheCaller) {
-  Bench b;
-  b.Circuits(1, 0.0F);
-  const CallId call = b.Offer(1);
-  const int tandem = b.SentTo();
+  fixture.ReportCircuits(1, 5.0F);
+  fixture.EndAttempt(call, tandem, Outcome::kReset);
+  EXPECT_EQ(fixture.SentTo(), -1);
+  fixture.now += 299 * kMs;
+  fixture.ReportCircuits(1, 6.0F);
+  fixture.Handle(TimerExpired{call});
+  EXPECT_EQ(fixture.SentTo(), -1);
+  fixture.now += 1 * kMs;
+  fixture.Handle(TimerExpired{call});
+  EXPECT_EQ(fixture.SentTo(), 1);
+}
+
+TEST(ControllerRules, FailsCallOnTimeoutAtDeadline) {
+  ControllerFixture fixture;
+  const CallId call = fixture.OfferCall(1);
+  fixture.now += 3000 * kMs;
+  fixture.EndAttempt(call, 1, Outcome::kTimeout);
+  EXPECT_TRUE(fixture.IsFailed());
+  fixture.Handle(CallAbandoned{call});
+  EXPECT_TRUE(fixture.actions.empty());
+}
+
+TEST(ControllerRules, FailsCallWhenResendGuardOutlastsBudget) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  const int tandem = fixture.SentTo();
   ASSERT_GT(tandem, 1);
-  b.now += 2800 * kMs;
-  b.End(call, tandem, Outcome::kReset);
-  EXPECT_TRUE(b.Failed());
+  fixture.now += 2800 * kMs;
+  fixture.EndAttempt(call, tandem, Outcome::kReset);
+  EXPECT_TRUE(fixture.IsFailed());
 }
 
-TEST(Rules, ARefusalOfAtMostOnceNeedsProof) {
-  Settings s = PlainSettings();
+TEST(ControllerRules, FailsAtMostOnceCallThatMayHaveExecuted) {
+  Settings s = TestSettings();
   s.classes[0].retry_semantics = RetrySemantics::kAtMostOnce;
-  Bench b(s);
-  const CallId call = b.Offer(1);
-  b.End(call, 1, Outcome::kError);
-  EXPECT_FALSE(b.Refused());
-  EXPECT_TRUE(b.Failed());
+  ControllerFixture fixture(s);
+  const CallId call = fixture.OfferCall(1);
+  fixture.EndAttempt(call, 1, Outcome::kError);
+  EXPECT_FALSE(fixture.IsRefused());
+  EXPECT_TRUE(fixture.IsFailed());
 }
 
-TEST(Rules, AColdExchangeIsGivenAShare) {
-  Bench b;
-  b.Status(1, ExchangeStatus::kReady, kStart - 1000 * kMs);
+TEST(ControllerWarmUp, SendsLimitedShareAfterRestart) {
+  ControllerFixture fixture;
+  fixture.SetStatus(1, ExchangeStatus::kReady, kStart - 1000 * kMs);
   int sent = 0;
   for (int i = 0; i < 40; ++i) {
-    const CallId call = b.Offer(1);
-    b.now += 200 * kMs;
-    if (b.SentTo() == 1) {
+    const CallId call = fixture.OfferCall(1);
+    fixture.now += 200 * kMs;
+    if (fixture.SentTo() == 1) {
       ++sent;
-      b.Stands(call, 1, 25 * kMs);
+      fixture.EstablishCall(call, 1, 25 * kMs);
     }
   }
   EXPECT_GE(sent, 1);
   EXPECT_LE(sent, 5);
 }
 
-// A hundred senders with a call each every 100 ms to an exchange just restarted: together they stay under
-// what it falls over at, though none knows of the others.
-TEST(Rules, AColdExchangeIsNotPushedOverByAHundredSenders) {
-  constexpr int kSenders = 100;
-  Settings s = PlainSettings();
-  s.softswitch_count = kSenders;
-  constexpr double kUsualPerSender = 0.2;  // to each exchange, a second
-  std::vector<Bench> senders;
-  for (std::uint64_t i = 0; i < kSenders; ++i) senders.emplace_back(s, i + 1);
+// A hundred softswitches, each with a call every 100 ms to an exchange that has just restarted. Together they have to
+// stay under its collapse threshold, although none knows of the others.
+TEST(ControllerWarmUp, HundredSoftswitchesDoNotCollapseRestartedExchange) {
+  constexpr int kSoftswitches = 100;
+  Settings s = TestSettings();
+  s.softswitch_count = kSoftswitches;
+  constexpr double kUsualRatePerSoftswitch = 0.2;  // set-ups per second to each exchange
+  std::vector<ControllerFixture> softswitches;
+  for (std::uint64_t i = 0; i < kSoftswitches; ++i) softswitches.emplace_back(s, i + 1);
   for (int step = 0; step < 100; ++step) {
-    for (Bench& b : senders) {
-      b.now += 100 * kMs;
+    for (ControllerFixture& fixture : softswitches) {
+      fixture.now += 100 * kMs;
       if (step % 50 != 0) continue;
       for (int to = 2; to < 4; ++to) {
-        const CallId call = b.Offer(to);
-        b.Stands(call, to, 50 * kMs);
+        const CallId call = fixture.OfferCall(to);
+        fixture.EstablishCall(call, to, 50 * kMs);
       }
     }
   }
-  std::vector<int> in_second(4, 0);
-  for (Bench& b : senders) b.Status(1, ExchangeStatus::kReady, b.now);
+  std::vector<int> sent_in_second(4, 0);
+  for (ControllerFixture& fixture : softswitches) fixture.SetStatus(1, ExchangeStatus::kReady, fixture.now);
   for (int step = 0; step < 40; ++step) {
-    for (Bench& b : senders) {
-      b.now += 100 * kMs;
-      const CallId call = b.Offer(1);
-      if (b.SentTo() != 1) continue;
-      ++in_second[static_cast<std::size_t>(step / 10)];
-      b.Stands(call, 1, 50 * kMs);
+    for (ControllerFixture& fixture : softswitches) {
+      fixture.now += 100 * kMs;
+      const CallId call = fixture.OfferCall(1);
+      if (fixture.SentTo() != 1) continue;
+      ++sent_in_second[static_cast<std::size_t>(step / 10)];
+      fixture.EstablishCall(call, 1, 50 * kMs);
     }
   }
-  const double usual = kUsualPerSender * kSenders;
+  const double usual = kUsualRatePerSoftswitch * kSoftswitches;
   int all = 0;
   for (int second = 0; second < 4; ++second) {
-    all += in_second[static_cast<std::size_t>(second)];
-    EXPECT_LT(in_second[static_cast<std::size_t>(second)], s.collapse_multiple * s.warm_up_start_share * usual)
+    all += sent_in_second[static_cast<std::size_t>(second)];
+    EXPECT_LT(sent_in_second[static_cast<std::size_t>(second)], s.collapse_multiple * s.warm_up_start_share * usual)
         << second;
   }
   EXPECT_GT(all, 0);
 }
 
-// The ramp holds for the fleet: 20, 30 and 48 softswitches, alike or with most of the traffic at a few, each with
-// arrivals of its own chance, on one clock. The exchange starts anew under the offered load and its redials; however
-// the window of the settings is laid, it gets no more than N and twice the root of N and 2 for chance. N is taken for
-// an exchange that its usual load just fills, so the bound is the least there can be. `late` thirds of the warm-up
-// hardly anybody asks for it, so that all may have saved up what they can when everybody comes.
-class ColdFleet : public ::testing::TestWithParam<std::tuple<int, bool, TimeUs>> {};
+// The warm-up limit holds for the sum of 20, 30 or 48 softswitches with equal or very unequal traffic and independent
+// random arrivals. The exchange restarts under the offered load and its redials. In any window of collapse_time_us it
+// gets at most N + 2 sqrt(N) + 2 set-ups, where N is the collapse threshold of an exchange that its usual load just
+// fills, so this is the strictest bound. For `quiet_thirds` thirds of the warm-up there is hardly any traffic to it, so
+// that all softswitches may have accumulated tokens when the traffic sets in.
+class ControllerWarmUpFleet : public ::testing::TestWithParam<std::tuple<int, bool, TimeUs>> {};
 
-TEST_P(ColdFleet, TheSumOfAllSendersStaysUnderWhatItFallsOverAt) {
-  const auto [senders, skewed, late] = GetParam();
-  Settings s = PlainSettings();
-  s.softswitch_count = senders;
-  constexpr double kUsual = 10.0;  // set-ups a second to one exchange, from all
+TEST_P(ControllerWarmUpFleet, TotalRateStaysUnderCollapseThreshold) {
+  const auto [softswitches, is_skewed, quiet_thirds] = GetParam();
+  Settings s = TestSettings();
+  s.softswitch_count = softswitches;
+  constexpr double kUsualRate = 10.0;  // set-ups per second to one exchange, from all softswitches
   constexpr TimeUs kStep = 10 * kMs;
-  std::vector<Bench> fleet;
-  std::vector<double> rate;  // of each, to one exchange, a second
-  for (int i = 0; i < senders; ++i) {
+  std::vector<ControllerFixture> fleet;
+  std::vector<double> rates;  // set-ups per second of each softswitch to one exchange
+  for (int i = 0; i < softswitches; ++i) {
     fleet.emplace_back(s, static_cast<std::uint64_t>(i) + 1);
-    rate.push_back(skewed ? (i % 8 == 0 ? 6.0 : 0.4) : 1.0);
+    rates.push_back(is_skewed ? (i % 8 == 0 ? 6.0 : 0.4) : 1.0);
   }
   double all = 0.0;
-  for (const double r : rate) all += r;
-  for (double& r : rate) r *= kUsual / all;
-  std::uint64_t chance = 88172645463325252ULL;
-  const auto draw = [&chance] {
-    chance ^= chance << 13U;
-    chance ^= chance >> 7U;
-    chance ^= chance << 17U;
-    return static_cast<double>(chance >> 11U) * 0x1.0p-53;
+  for (const double r : rates) all += r;
+  for (double& r : rates) r *= kUsualRate / all;
+  std::uint64_t random_state = 88172645463325252ULL;
+  const auto draw = [&random_state] {
+    random_state ^= random_state << 13U;
+    random_state ^= random_state >> 7U;
+    random_state ^= random_state << 17U;
+    return static_cast<double>(random_state >> 11U) * 0x1.0p-53;
   };
   std::vector<TimeUs> sent;
   TimeUs started = 0;
   for (TimeUs t = 0; t < 20'000 * kMs + s.warm_up_us; t += kStep) {
     if (t == 20'000 * kMs) {
       started = t;
-      for (Bench& b : fleet) b.Status(1, ExchangeStatus::kReady, b.now);
+      for (ControllerFixture& fixture : fleet) fixture.SetStatus(1, ExchangeStatus::kReady, fixture.now);
     }
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-      Bench& b = fleet[i];
-      b.now += kStep;
+      ControllerFixture& fixture = fleet[i];
+      fixture.now += kStep;
       for (int to = 1; to < 4; ++to) {
-        // Refused callers come again, and some too often: eight times the usual offers while it is cold.
-        const bool quiet = t < started + late * s.warm_up_us / 3;
-        const double offered = rate[i] * (to != 1 || started == 0 ? 1.0 : quiet ? 0.1 : late > 0 ? 4.0 : 8.0);
+        // Refused callers redial, some of them too often: eight times the usual load while the exchange warms up.
+        const bool is_quiet = t < started + quiet_thirds * s.warm_up_us / 3;
+        const double offered = rates[i] * (to != 1 || started == 0 ? 1.0
+                                           : is_quiet              ? 0.1
+                                           : quiet_thirds > 0      ? 4.0
+                                                                   : 8.0);
         if (draw() >= offered * static_cast<double>(kStep) / 1e6) continue;
-        const CallId call = b.Offer(to);
-        const int at = b.SentTo();
+        const CallId call = fixture.OfferCall(to);
+        const int at = fixture.SentTo();
         if (at < 0) continue;
         if (at == 1 && started > 0) sent.push_back(t);
-        b.Stands(call, at, 50 * kMs);
-        b.End(call, at, Outcome::kOk);
-        b.Circuits(at, 20.0F);
+        fixture.EstablishCall(call, at, 50 * kMs);
+        fixture.EndAttempt(call, at, Outcome::kOk);
+        fixture.ReportCircuits(at, 20.0F);
       }
     }
   }
@@ -300,443 +303,446 @@
     while (sent[last] - sent[first] >= s.collapse_time_us) ++first;
     const double age = static_cast<double>(sent[first] - started) / static_cast<double>(s.warm_up_us);
     const double warmth = std::min(1.0, s.warm_up_start_share + (1.0 - s.warm_up_start_share) * age);
-    const double n = s.collapse_multiple * warmth * kUsual * static_cast<double>(s.collapse_time_us) / 1e6;
+    const double n = s.collapse_multiple * warmth * kUsualRate * static_cast<double>(s.collapse_time_us) / 1e6;
     EXPECT_LE(static_cast<double>(last - first + 1), n + 2.0 * std::sqrt(n) + 2.0) << "at " << sent[last] - started;
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, ColdFleet,
+INSTANTIATE_TEST_SUITE_P(FleetSizes, ControllerWarmUpFleet,
                          ::testing::Combine(::testing::Values(20, 30, 48), ::testing::Bool(),
                                             ::testing::Values(0, 1, 2)));
 
-TEST(Failures, ACrowdedNumberIsTriedNowAndThen) {
-  Bench b;
+TEST(ControllerLoadControl, GapsCallsToBusyNumber) {
+  ControllerFixture fixture;
   int sent = 0;
   for (CallId id = 900; id < 1000; ++id) {
-    b.Do(CallOffered{.call = id, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1});
-    b.now += 10 * kMs;
-    if (b.SentTo() == 1) {
+    fixture.Handle(CallOffered{.call = id, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1});
+    fixture.now += 10 * kMs;
+    if (fixture.SentTo() == 1) {
       ++sent;
-      b.End(id, 1, Outcome::kError, RejectCause::kLinesBusy);
+      fixture.EndAttempt(id, 1, Outcome::kError, RejectCause::kLinesBusy);
     }
   }
   EXPECT_GE(sent, 3);
   EXPECT_LE(sent, 6);
 }
 
-TEST(Failures, ACallWaitsForACircuitAndTakesTheFirstFreed) {
-  Bench b;
-  for (int i = 1; i < 4; ++i) b.Circuits(i, 0.0F);
-  const CallId call = b.Offer(1);
-  EXPECT_FALSE(b.Refused());
-  b.now += 400 * kMs;
-  b.Circuits(1, 1.0F);
-  ASSERT_EQ(b.SentTo(), 1);
-  EXPECT_EQ(b.First<SendSetUp>()->call, call);
+TEST(ControllerQueue, QueuedCallTakesFirstReleasedCircuit) {
+  ControllerFixture fixture;
+  for (int i = 1; i < 4; ++i) fixture.ReportCircuits(i, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  EXPECT_FALSE(fixture.IsRefused());
+  fixture.now += 400 * kMs;
+  fixture.ReportCircuits(1, 1.0F);
+  ASSERT_EQ(fixture.SentTo(), 1);
+  EXPECT_EQ(fixture.FirstAction<SendSetUp>()->call, call);
 }
 
-TEST(Failures, AHeldCallIsRefusedWhenItWouldStandLate) {
-  Bench b;
-  for (int i = 1; i < 4; ++i) b.Circuits(i, 0.0F);
-  const CallId call = b.Offer(1);
-  const auto* timer = b.First<SetTimer>();
+TEST(ControllerQueue, RefusesQueuedCallThatWouldBeLate) {
+  ControllerFixture fixture;
+  for (int i = 1; i < 4; ++i) fixture.ReportCircuits(i, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  const auto* timer = fixture.FirstAction<SetTimer>();
   ASSERT_NE(timer, nullptr);
   EXPECT_LT(timer->delay_us, 1500 * kMs);
-  b.now += timer->delay_us;
-  b.Do(TimerExpired{call});
-  EXPECT_TRUE(b.Refused());
-}
-
-// Found by the random days: the set-up delay fell while the call was held, and its hold outlasted its timer.
-TEST(Failures, AHoldEndsAtItsTimerThoughTheDelayFell) {
-  Bench b;
-  const CallId slow = b.Offer(1);
-  b.now += 600 * kMs;
-  b.Stands(slow, 1, 600 * kMs);
-  for (int i = 1; i < 4; ++i) b.Circuits(i, 0.0F);
-  const CallId call = b.Offer(1);
-  const auto* timer = b.First<SetTimer>();
+  fixture.now += timer->delay_us;
+  fixture.Handle(TimerExpired{call});
+  EXPECT_TRUE(fixture.IsRefused());
+}
+
+// A call stayed in the queue beyond its timer if the set-up delay fell while it waited (found by RandomTrafficRules).
+TEST(ControllerQueue, WaitEndsAtTimerWhenDelayHasFallen) {
+  ControllerFixture fixture;
+  const CallId slow = fixture.OfferCall(1);
+  fixture.now += 600 * kMs;
+  fixture.EstablishCall(slow, 1, 600 * kMs);
+  for (int i = 1; i < 4; ++i) fixture.ReportCircuits(i, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  const auto* timer = fixture.FirstAction<SetTimer>();
   ASSERT_NE(timer, nullptr);
-  const TimeUs due = b.now + timer->delay_us;
-  b.Stands(slow, 1, 10 * kMs);
-  b.now = due;
-  b.Do(TimerExpired{call});
-  EXPECT_TRUE(b.Refused());
+  const TimeUs due = fixture.now + timer->delay_us;
+  fixture.EstablishCall(slow, 1, 10 * kMs);
+  fixture.now = due;
+  fixture.Handle(TimerExpired{call});
+  EXPECT_TRUE(fixture.IsRefused());
 }
 
-Settings TwoWorths() {
-  Settings s = PlainSettings();
+Settings SettingsWithTwoWorths() {
+  Settings s = TestSettings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].worth = 3.0;
   return s;
 }
 
-TEST(Failures, AFreedCircuitGoesToTheHeldCallOfMostWorth) {
-  Bench b(TwoWorths());
-  for (int i = 1; i < 4; ++i) b.Circuits(i, 0.0F);
-  b.Offer(1, 1.0, 0);
-  const CallId dear = b.Offer(1, 1.0, 1);
-  b.Circuits(1, 1.0F);
-  ASSERT_NE(b.First<SendSetUp>(), nullptr);
-  EXPECT_EQ(b.First<SendSetUp>()->call, dear);
+TEST(ControllerQueue, ReleasedCircuitGoesToCallOfHighestWorth) {
+  ControllerFixture fixture(SettingsWithTwoWorths());
+  for (int i = 1; i < 4; ++i) fixture.ReportCircuits(i, 0.0F);
+  fixture.OfferCall(1, 1.0, 0);
+  const CallId valuable_call = fixture.OfferCall(1, 1.0, 1);
+  fixture.ReportCircuits(1, 1.0F);
+  ASSERT_NE(fixture.FirstAction<SendSetUp>(), nullptr);
+  EXPECT_EQ(fixture.FirstAction<SendSetUp>()->call, valuable_call);
 }
 
-TEST(Failures, OverflowThatIsTurnedBackIsThinned) {
-  Bench b;
+TEST(ControllerLoadControl, ReducesOverflowAfterCrankbacks) {
+  ControllerFixture fixture;
   int overflowed = 0;
   for (int i = 0; i < 60; ++i) {
-    b.Circuits(1, 0.0F);
-    b.Circuits(2, 20.0F);
-    b.Circuits(3, 20.0F);
-    const CallId call = b.Offer(1);
-    for (int attempt = 0; b.SentTo() > 1; ++attempt) {
+    fixture.ReportCircuits(1, 0.0F);
+    fixture.ReportCircuits(2, 20.0F);
+    fixture.ReportCircuits(3, 20.0F);
+    const CallId call = fixture.OfferCall(1);
+    for (int attempt = 0; fixture.SentTo() > 1; ++attempt) {
       ++overflowed;
-      b.End(call, b.SentTo(), Outcome::kRejected, RejectCause::kCrankback, attempt);
+      fixture.EndAttempt(call, fixture.SentTo(), Outcome::kRejected, RejectCause::kCrankback, attempt);
     }
-    b.now += 20 * kMs;
+    fixture.now += 20 * kMs;
   }
   EXPECT_GT(overflowed, 0);
   EXPECT_LT(overflowed, 30);
 }
 
-// Issue 11: a held call is routed anew at each event, and drew anew each time, until thinning let it through.
-TEST(Failures, AHeldCallIsThinnedByOneDraw) {
-  Bench b;
-  int at_first = 0, held = 0, at_last = 0;
+// Issue 11: a queued call is routed again at each event and got a new random draw each time, until it was permitted as
+// overflow.
+TEST(ControllerLoadControl, QueuedCallUsesOneDrawForOverflow) {
+  ControllerFixture fixture;
+  int sent_at_once = 0, queued = 0, sent_later = 0;
   for (int i = 0; i < 60; ++i) {
-    b.Circuits(1, 0.0F);
-    const CallId call = b.Offer(1);
-    if (b.SentTo() > 1) {
-      ++at_first;
+    fixture.ReportCircuits(1, 0.0F);
+    const CallId call = fixture.OfferCall(1);
+    if (fixture.SentTo() > 1) {
+      ++sent_at_once;
     } else {
-      ++held;
-      for (int event = 0; event < 40 && b.SentTo() <= 1; ++event) {
-        b.now += 5 * kMs;
-        b.Circuits(2, 20.0F);
+      ++queued;
+      for (int event = 0; event < 40 && fixture.SentTo() <= 1; ++event) {
+        fixture.now += 5 * kMs;
+        fixture.ReportCircuits(2, 20.0F);
       }
-      at_last += b.SentTo() > 1 ? 1 : 0;
+      sent_later += fixture.SentTo() > 1 ? 1 : 0;
     }
-    for (int attempt = 0; b.SentTo() > 1; ++attempt)
-      b.End(call, b.SentTo(), Outcome::kRejected, RejectCause::kCrankback, attempt);
-    b.Do(CallAbandoned{call});
+    for (int attempt = 0; fixture.SentTo() > 1; ++attempt)
+      fixture.EndAttempt(call, fixture.SentTo(), Outcome::kRejected, RejectCause::kCrankback, attempt);
+    fixture.Handle(CallAbandoned{call});
   }
-  EXPECT_GT(at_first, 0);
-  EXPECT_GT(held, 30);
-  EXPECT_LT(at_last, held / 4);
+  EXPECT_GT(sent_at_once, 0);
+  EXPECT_GT(queued, 30);
+  EXPECT_LT(sent_later, queued / 4);
 }
 
-// Issue 11: overflow and late redials went on while queues filled, until losses told, a set-up delay later.
-TEST(Failures, OverflowAndLateRedialsNeedProcessorsWithRoom) {
-  Bench b;
-  const auto set_ups = [&b](int n, TimeUs delay) {
+// Issue 11: overflow and late redials continued while queues built up, until losses showed it one set-up delay later.
+TEST(ControllerLoadControl, OverflowAndLateRedialsRequireHeadroom) {
+  ControllerFixture fixture;
+  const auto establish_calls = [&fixture](int n, TimeUs delay) {
     for (int i = 0; i < n; ++i) {
-      b.now += 100 * kMs;
-      b.Circuits(3, 20.0F);
-      b.Stands(b.Offer(3), 3, delay);
+      fixture.now += 100 * kMs;
+      fixture.ReportCircuits(3, 20.0F);
+      fixture.EstablishCall(fixture.OfferCall(3), 3, delay);
     }
   };
-  const auto overflows = [&b] {
-    b.Circuits(1, 0.0F);
-    const CallId call = b.Offer(1);
-    const int tandem = b.SentTo();
+  const auto try_overflow = [&fixture] {
+    fixture.ReportCircuits(1, 0.0F);
+    const CallId call = fixture.OfferCall(1);
+    const int tandem = fixture.SentTo();
     if (tandem > 1) {
-      b.Stands(call, tandem, 100 * kMs);
+      fixture.EstablishCall(call, tandem, 100 * kMs);
     } else {
-      b.Do(CallAbandoned{call});  // held for a circuit until then
+      fixture.Handle(CallAbandoned{call});  // it was queued for a circuit until then
     }
     return tandem > 1;
   };
   CallOffered offer{.call = 900, .number_called = 77, .budget_us = 3000 * kMs, .destination = 2};
-  b.Status(2, ExchangeStatus::kDraining);
-  b.Do(offer);
-  ASSERT_TRUE(b.Refused());
-  b.Status(2, ExchangeStatus::kReady);
-  set_ups(15, 100 * kMs);
-  EXPECT_TRUE(overflows());
-  set_ups(10, 250 * kMs);  // still ordinary as a delay: no loss control acts
-  EXPECT_FALSE(overflows());
+  fixture.SetStatus(2, ExchangeStatus::kDraining);
+  fixture.Handle(offer);
+  ASSERT_TRUE(fixture.IsRefused());
+  fixture.SetStatus(2, ExchangeStatus::kReady);
+  establish_calls(15, 100 * kMs);
+  EXPECT_TRUE(try_overflow());
+  establish_calls(10, 250 * kMs);  // still a normal delay, on which loss control does not act
+  EXPECT_FALSE(try_overflow());
   offer.call = 901;
-  b.Do(offer);
-  EXPECT_TRUE(b.Refused());
-  EXPECT_EQ(b.First<SetTimer>(), nullptr);
-  const CallId fresh = b.Offer(2);
-  EXPECT_EQ(b.SentTo(), 2);
-  b.Stands(fresh, 2, 250 * kMs);
-  set_ups(30, 100 * kMs);
-  EXPECT_TRUE(overflows());
-  b.Circuits(2, 20.0F);
+  fixture.Handle(offer);
+  EXPECT_TRUE(fixture.IsRefused());
+  EXPECT_EQ(fixture.FirstAction<SetTimer>(), nullptr);
+  const CallId fresh = fixture.OfferCall(2);
+  EXPECT_EQ(fixture.SentTo(), 2);
+  fixture.EstablishCall(fresh, 2, 250 * kMs);
+  establish_calls(30, 100 * kMs);
+  EXPECT_TRUE(try_overflow());
+  fixture.ReportCircuits(2, 20.0F);
   offer.call = 902;
-  b.Do(offer);
-  EXPECT_EQ(b.SentTo(), 2);
+  fixture.Handle(offer);
+  EXPECT_EQ(fixture.SentTo(), 2);
 }
 
-// Over a tandem no own group tells how scarce circuits are; turn-backs do.
-TEST(Failures, ALateRedialGoesOverATandemOnlyWhileFewAreTurnedBack) {
+// For calls over tandems, no direct group shows how scarce circuits are, but crankbacks do.
+TEST(ControllerLoadControl, LateRedialUsesTandemOnlyWithFewCrankbacks) {
   for (const bool turned_back : {false, true}) {
-    Bench b;
-    b.Circuits(1, 0.0F, 0.0F);
+    ControllerFixture fixture;
+    fixture.ReportCircuits(1, 0.0F, 0.0F);
     CallOffered offer{.call = 900, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1};
-    b.Status(1, ExchangeStatus::kDraining);
-    b.Do(offer);
-    b.Status(1, ExchangeStatus::kReady);
+    fixture.SetStatus(1, ExchangeStatus::kDraining);
+    fixture.Handle(offer);
+    fixture.SetStatus(1, ExchangeStatus::kReady);
     for (int i = 0; i < 7; ++i) {
-      b.now += 200 * kMs;
-      const CallId call = b.Offer(1);
-      const int tandem = b.SentTo();
+      fixture.now += 200 * kMs;
+      const CallId call = fixture.OfferCall(1);
+      const int tandem = fixture.SentTo();
       ASSERT_GT(tandem, 1);
       if (turned_back && i % 2 == 0) {
-        b.End(call, tandem, Outcome::kRejected, RejectCause::kCrankback);
-        if (b.SentTo() > 1) b.Stands(call, b.SentTo(), 100 * kMs, 1);
+        fixture.EndAttempt(call, tandem, Outcome::kRejected, RejectCause::kCrankback);
+        if (fixture.SentTo() > 1) fixture.EstablishCall(call, fixture.SentTo(), 100 * kMs, 1);
       } else {
-        b.Stands(call, tandem, 100 * kMs);
+        fixture.EstablishCall(call, tandem, 100 * kMs);
       }
     }
     offer.call = 901;
-    b.Do(offer);
-    EXPECT_EQ(b.SentTo() > 1, !turned_back);
-    EXPECT_EQ(b.Refused(), turned_back);
+    fixture.Handle(offer);
+    EXPECT_EQ(fixture.SentTo() > 1, !turned_back);
+    EXPECT_EQ(fixture.IsRefused(), turned_back);
   }
 }
 
-// Its circuit is missed by calls that can still be in time.
-TEST(Failures, ALateRedialLeavesAPartOfTheGroup) {
-  // The last: a group of which nothing was told is tried, as for other calls.
-  for (const float spare : {6.0F, 5.0F, -1.0F}) {
-    Settings settings = PlainSettings();
-    if (spare < 0.0F) settings.report_fields.clear();
-    Bench b(settings);
+// The circuits that a late redial takes may be missing for calls that can still be on time.
+TEST(ControllerLoadControl, LateRedialLeavesReserveOnGroup) {
+  // The last case is a group without reports, which is tried as for other calls.
+  for (const float free_circuits : {6.0F, 5.0F, -1.0F}) {
+    Settings settings = TestSettings();
+    if (free_circuits < 0.0F) settings.report_fields.clear();
+    ControllerFixture fixture(settings);
     CallOffered offer{.call = 900, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1};
-    b.Status(1, ExchangeStatus::kDraining);
-    b.Do(offer);
-    b.Status(1, ExchangeStatus::kReady);
-    b.now += 1400 * kMs;
-    b.Circuits(1, spare);
+    fixture.SetStatus(1, ExchangeStatus::kDraining);
+    fixture.Handle(offer);
+    fixture.SetStatus(1, ExchangeStatus::kReady);
+    fixture.now += 1400 * kMs;
+    fixture.ReportCircuits(1, free_circuits);
     offer.call = 901;
-    b.now += 10 * kMs;
-    b.Do(offer);
-    EXPECT_EQ(b.SentTo() == 1, spare != 5.0F);
-    EXPECT_EQ(b.Refused(), spare == 5.0F);
+    fixture.now += 10 * kMs;
+    fixture.Handle(offer);
+    EXPECT_EQ(fixture.SentTo() == 1, free_circuits != 5.0F);
+    EXPECT_EQ(fixture.IsRefused(), free_circuits == 5.0F);
   }
 }
 
-// A call waits only for what can still serve it in time; once that is gone it is answered.
-TEST(AtOnce, AHeldCallWhoseDestinationIsGoneIsRefused) {
-  Bench b;
-  for (int i = 1; i < 4; ++i) b.Circuits(i, 0.0F);
-  b.Offer(1);
-  ASSERT_FALSE(b.Refused());
-  b.Status(1, ExchangeStatus::kGone);
-  EXPECT_TRUE(b.Refused());
-}
-
-TEST(AtOnce, ADirectSetUpThatCouldNotConnectLeavesNothingToWaitFor) {
-  Bench b;
-  b.Status(2, ExchangeStatus::kGone);
-  b.Status(3, ExchangeStatus::kGone);
-  const CallId call = b.Offer(1);
-  b.End(call, 1, Outcome::kConnectFailed);
-  EXPECT_TRUE(b.Refused());
-}
-
-TEST(AtOnce, APairWithoutAGroupWhoseTandemsAreGoneHasNothingToWaitFor) {
-  Bench b;
-  b.Circuits(1, 0.0F, 0.0F);
-  b.Circuits(2, 0.0F);
-  b.Circuits(3, 0.0F);
-  b.Offer(1);
-  ASSERT_FALSE(b.Refused());
-  b.Status(2, ExchangeStatus::kGone);
-  ASSERT_FALSE(b.Refused());
-  b.Status(3, ExchangeStatus::kGone);
-  EXPECT_TRUE(b.Refused());
-}
-
-TEST(AtOnce, AHeldCallIsRefusedWhenSetUpsBecomeTooSlowForIt) {
-  Bench b;
-  const CallId slow = b.Offer(1);
-  for (int i = 1; i < 4; ++i) b.Circuits(i, 0.0F);
-  b.Offer(1);
-  ASSERT_FALSE(b.Refused());
-  b.now += 1100 * kMs;
-  b.Stands(slow, 1, 1100 * kMs);
-  EXPECT_TRUE(b.Refused());
-}
-
-TEST(AtOnce, AReleaseWaitEndsWhenTheDestinationIsGone) {
-  Bench b;
-  b.Circuits(1, 0.0F);
-  const CallId call = b.Offer(1);
-  const int tandem = b.SentTo();
+// A call waits only while something can still serve it in time; then it is answered at once.
+TEST(ControllerQueue, RefusesQueuedCallWhenDestinationIsGone) {
+  ControllerFixture fixture;
+  for (int i = 1; i < 4; ++i) fixture.ReportCircuits(i, 0.0F);
+  fixture.OfferCall(1);
+  ASSERT_FALSE(fixture.IsRefused());
+  fixture.SetStatus(1, ExchangeStatus::kGone);
+  EXPECT_TRUE(fixture.IsRefused());
+}
+
+TEST(ControllerQueue, RefusesCallWhenOnlyRouteCannotConnect) {
+  ControllerFixture fixture;
+  fixture.SetStatus(2, ExchangeStatus::kGone);
+  fixture.SetStatus(3, ExchangeStatus::kGone);
+  const CallId call = fixture.OfferCall(1);
+  fixture.EndAttempt(call, 1, Outcome::kConnectFailed);
+  EXPECT_TRUE(fixture.IsRefused());
+}
+
+TEST(ControllerQueue, RefusesCallWithoutDirectGroupWhenTandemsAreGone) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F, 0.0F);
+  fixture.ReportCircuits(2, 0.0F);
+  fixture.ReportCircuits(3, 0.0F);
+  fixture.OfferCall(1);
+  ASSERT_FALSE(fixture.IsRefused());
+  fixture.SetStatus(2, ExchangeStatus::kGone);
+  ASSERT_FALSE(fixture.IsRefused());
+  fixture.SetStatus(3, ExchangeStatus::kGone);
+  EXPECT_TRUE(fixture.IsRefused());
+}
+
+TEST(ControllerQueue, RefusesQueuedCallWhenSetUpsBecomeTooSlow) {
+  ControllerFixture fixture;
+  const CallId slow = fixture.OfferCall(1);
+  for (int i = 1; i < 4; ++i) fixture.ReportCircuits(i, 0.0F);
+  fixture.OfferCall(1);
+  ASSERT_FALSE(fixture.IsRefused());
+  fixture.now += 1100 * kMs;
+  fixture.EstablishCall(slow, 1, 1100 * kMs);
+  EXPECT_TRUE(fixture.IsRefused());
+}
+
+TEST(ControllerQueue, EndsResendWaitWhenDestinationIsGone) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  const int tandem = fixture.SentTo();
   ASSERT_GT(tandem, 1);
-  b.End(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
-  EXPECT_FALSE(b.Failed());
-  b.now += 10 * kMs;
-  b.Status(1, ExchangeStatus::kGone);
-  EXPECT_TRUE(b.Failed());
+  fixture.EndAttempt(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
+  EXPECT_FALSE(fixture.IsFailed());
+  fixture.now += 10 * kMs;
+  fixture.SetStatus(1, ExchangeStatus::kGone);
+  EXPECT_TRUE(fixture.IsFailed());
 }
 
-TEST(AtOnce, NoReleaseWaitAfterTheLastAttempt) {
-  Settings s = PlainSettings();
+TEST(ControllerQueue, DoesNotWaitAfterLastAttempt) {
+  Settings s = TestSettings();
   s.max_attempts = 1;
-  Bench b(s);
-  b.Circuits(1, 0.0F);
-  const CallId call = b.Offer(1);
-  const int tandem = b.SentTo();
+  ControllerFixture fixture(s);
+  fixture.ReportCircuits(1, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  const int tandem = fixture.SentTo();
   ASSERT_GT(tandem, 1);
-  b.End(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
-  EXPECT_TRUE(b.Failed());
+  fixture.EndAttempt(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
+  EXPECT_TRUE(fixture.IsFailed());
 }
 
-// In place of holding a call back: its caller is told when to come again, where callers heed that.
-TEST(AtOnce, ACallRefusedForWantOfRoomIsToldAPause) {
+// Callers who observe a retry-after are told when to redial, instead of being queued.
+TEST(ControllerLoadControl, RefusalStatesRetryAfterWhenHonoured) {
   for (const bool honours : {false, true}) {
-    Settings s = PlainSettings();
+    Settings s = TestSettings();
     s.honours_retry_after = honours;
     s.max_retry_after_us = 2000 * kMs;
-    Bench b(s);
-    const CallId call = b.Offer(1);
-    b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
-    ASSERT_TRUE(b.Refused());
-    EXPECT_EQ(b.First<RefuseCall>()->retry_after_us, honours ? 2000 * kMs : 0);
+    ControllerFixture fixture(s);
+    const CallId call = fixture.OfferCall(1);
+    fixture.EndAttempt(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
+    ASSERT_TRUE(fixture.IsRefused());
+    EXPECT_EQ(fixture.FirstAction<RefuseCall>()->retry_after_us, honours ? 2000 * kMs : 0);
   }
 }
 
-TEST(AtOnce, NoReleaseWaitWithoutAFurtherTandem) {
-  Bench b;
-  b.Circuits(1, 0.0F, 0.0F);
-  b.Status(3, ExchangeStatus::kGone);
-  const CallId call = b.Offer(1);
-  ASSERT_EQ(b.SentTo(), 2);
-  b.End(call, 2, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
-  EXPECT_TRUE(b.Failed());
+TEST(ControllerQueue, DoesNotWaitWithoutFurtherTandem) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F, 0.0F);
+  fixture.SetStatus(3, ExchangeStatus::kGone);
+  const CallId call = fixture.OfferCall(1);
+  ASSERT_EQ(fixture.SentTo(), 2);
+  fixture.EndAttempt(call, 2, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
+  EXPECT_TRUE(fixture.IsFailed());
 }
 
-// A call that awaits its release holds no circuit back from others.
-TEST(AtOnce, AReleaseWaitHoldsNobodyUp) {
-  Bench b(TwoWorths());
-  b.Circuits(1, 0.0F);
-  const CallId call = b.Offer(1, 1.0, 1);
-  const int tandem = b.SentTo();
+// A call that waits for the resend guard must not keep circuits from other calls.
+TEST(ControllerQueue, ResendWaitDoesNotBlockOtherCalls) {
+  ControllerFixture fixture(SettingsWithTwoWorths());
+  fixture.ReportCircuits(1, 0.0F);
+  const CallId call = fixture.OfferCall(1, 1.0, 1);
+  const int tandem = fixture.SentTo();
   ASSERT_GT(tandem, 1);
-  b.End(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
-  ASSERT_FALSE(b.Failed());
-  b.Circuits(1, 1.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 1);
-}
-
-// No release wait either if the aim will have passed by its end.
-TEST(AtOnce, NoReleaseWaitPastTheAim) {
-  Bench b;
-  b.Circuits(1, 0.0F);
-  const CallId call = b.Offer(1);
-  const int tandem = b.SentTo();
+  fixture.EndAttempt(call, tandem, Outcome::kReset, RejectCause::kNone, 0, {}, 100 * kMs);
+  ASSERT_FALSE(fixture.IsFailed());
+  fixture.ReportCircuits(1, 1.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 1);
+}
+
+// There is no wait either if the target delay would have passed by its end.
+TEST(ControllerQueue, DoesNotWaitPastTargetDelay) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  const int tandem = fixture.SentTo();
   ASSERT_GT(tandem, 1);
-  b.now += 1300 * kMs;
-  b.End(call, tandem, Outcome::kReset);
-  EXPECT_TRUE(b.Failed());
+  fixture.now += 1300 * kMs;
+  fixture.EndAttempt(call, tandem, Outcome::kReset);
+  EXPECT_TRUE(fixture.IsFailed());
 }
 
-TEST(Failures, ASilentExchangeIsNotFedAtFullRate) {
-  Bench b;
-  b.Offer(1);
+TEST(ControllerLoadControl, LimitsSetUpsToUnresponsiveExchange) {
+  ControllerFixture fixture;
+  fixture.OfferCall(1);
   for (int i = 0; i < 15; ++i) {
-    b.now += 100 * kMs;
-    b.Circuits(2, 20.0F);
+    fixture.now += 100 * kMs;
+    fixture.ReportCircuits(2, 20.0F);
   }
   int sent = 0;
   for (int i = 0; i < 40; ++i) {
-    b.now += 25 * kMs;
-    b.Offer(1);
-    sent += b.SentTo() == 1 ? 1 : 0;
+    fixture.now += 25 * kMs;
+    fixture.OfferCall(1);
+    sent += fixture.SentTo() == 1 ? 1 : 0;
   }
   EXPECT_LE(sent, 4);
 }
 
-// Report 8a95fc: set-ups went on to a vanished exchange until each had timed out.
-TEST(Failures, NoSetUpGoesToAnExchangeOutOfReachForARestAndNothingElseIsHeldAgainstIt) {
-  Bench b;
-  b.Do(LoadReportReceived{.exchange = Bench::Id(1), .outcome = Outcome::kConnectFailed, .elapsed_us = 1});
+// Report 8a95fc: set-ups were sent to a vanished exchange until each had timed out.
+TEST(ControllerLoadControl, BacksOffUnreachableExchangeWithoutFurtherPenalty) {
+  ControllerFixture fixture;
+  fixture.Handle(
+      LoadReportReceived{.exchange = ControllerFixture::IdOf(1), .outcome = Outcome::kConnectFailed, .elapsed_us = 1});
   for (int i = 0; i < 9; ++i) {
-    b.now += 100 * kMs;
-    b.Offer(1);
-    EXPECT_TRUE(b.Refused());
-    EXPECT_EQ(b.SentTo(), -1);
+    fixture.now += 100 * kMs;
+    fixture.OfferCall(1);
+    EXPECT_TRUE(fixture.IsRefused());
+    EXPECT_EQ(fixture.SentTo(), -1);
   }
-  b.now += 200 * kMs;
-  // Neither cold nor pressed: it is sent to as before.
+  fixture.now += 200 * kMs;
+  // It counts neither as restarted nor as overloaded, so set-ups are sent as before.
   for (int i = 0; i < 5; ++i) {
-    b.Offer(1);
-    EXPECT_EQ(b.SentTo(), 1);
+    fixture.OfferCall(1);
+    EXPECT_EQ(fixture.SentTo(), 1);
   }
-  b.Offer(2);
-  EXPECT_EQ(b.SentTo(), 2);
+  fixture.OfferCall(2);
+  EXPECT_EQ(fixture.SentTo(), 2);
 }
 
-// The day wide+reset+stale: one connection reset as it came up made an exchange cold for the rest of the day.
-TEST(Failures, AConnectionThatBrokeBeforeItWasOpenIsNoDeathOfTheExchangeWhereOthersAreOpen) {
-  Bench b;
-  const CallId call = b.Offer(1);
-  b.End(call, 1, Outcome::kConnectFailed, RejectCause::kConnectionLost);
-  EXPECT_EQ(b.SentTo(), 1);  // it never left: the same call goes there at once
+// One connection that was reset while it was opened made an exchange count as restarted for the rest of the day (day
+// file wide+reset+stale).
+TEST(ControllerLoadControl, SingleLostConnectionDoesNotMarkExchangeFailed) {
+  ControllerFixture fixture;
+  const CallId call = fixture.OfferCall(1);
+  fixture.EndAttempt(call, 1, Outcome::kConnectFailed, RejectCause::kConnectionLost);
+  EXPECT_EQ(fixture.SentTo(), 1);  // it was not sent, so the same call is sent there at once
   for (int i = 0; i < 5; ++i) {
-    b.Offer(1);
-    EXPECT_EQ(b.SentTo(), 1);
+    fixture.OfferCall(1);
+    EXPECT_EQ(fixture.SentTo(), 1);
   }
-  const CallId other = b.Offer(2);
-  b.End(other, 2, Outcome::kConnectFailed);
-  b.Offer(2);
-  EXPECT_NE(b.SentTo(), 2);
+  const CallId other = fixture.OfferCall(2);
+  fixture.EndAttempt(other, 2, Outcome::kConnectFailed);
+  fixture.OfferCall(2);
+  EXPECT_NE(fixture.SentTo(), 2);
 }
 
-TEST(Failures, APressedExchangeGetsOneSetUpAtATime) {
-  Bench b;
+TEST(ControllerLoadControl, SendsOneSetUpAtATimeToOverloadedExchange) {
+  ControllerFixture fixture;
   for (int i = 0; i < 8; ++i) {
-    const CallId call = b.Offer(1);
-    b.now += 1000 * kMs;
-    if (b.SentTo() == 1) b.Stands(call, 1, 1000 * kMs);
+    const CallId call = fixture.OfferCall(1);
+    fixture.now += 1000 * kMs;
+    if (fixture.SentTo() == 1) fixture.EstablishCall(call, 1, 1000 * kMs);
   }
   int sent = 0;
   for (int i = 0; i < 60; ++i) {
-    b.now += 2 * kMs;
-    b.Offer(1);
-    sent += b.SentTo() == 1 ? 1 : 0;
+    fixture.now += 2 * kMs;
+    fixture.OfferCall(1);
+    sent += fixture.SentTo() == 1 ? 1 : 0;
   }
   EXPECT_EQ(sent, 1);
 }
 
-TEST(Failures, APressedExchangeIsLoggedOnce) {
-  Bench b;
-  int lines = 0;
+TEST(ControllerLoadControl, LogsOverloadedExchangeOnce) {
+  ControllerFixture fixture;
+  int log_lines = 0;
   for (int i = 0; i < 8; ++i) {
-    const CallId call = b.Offer(1);
-    b.now += 1000 * kMs;
-    if (b.SentTo() == 1) b.End(call, 1, Outcome::kTimeout);
-    lines += b.First<WriteLog>() != nullptr ? 1 : 0;
+    const CallId call = fixture.OfferCall(1);
+    fixture.now += 1000 * kMs;
+    if (fixture.SentTo() == 1) fixture.EndAttempt(call, 1, Outcome::kTimeout);
+    log_lines += fixture.FirstAction<WriteLog>() != nullptr ? 1 : 0;
   }
-  EXPECT_EQ(lines, 1);
+  EXPECT_EQ(log_lines, 1);
 }
 
-TEST(Failures, AFullProcessorIsBackedOff) {
-  Bench b;
-  const CallId call = b.Offer(1);
-  b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), -1);
+TEST(ControllerLoadControl, BacksOffFullProcessor) {
+  ControllerFixture fixture;
+  const CallId call = fixture.OfferCall(1);
+  fixture.EndAttempt(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), -1);
 }
 
-// A jammed processor loses set-up after set-up; each sender sees few of them and kept on sending.
-TEST(Failures, LossesInARowLengthenTheRest) {
-  Settings s = PlainSettings();
+// An overloaded processor loses one set-up after another; each softswitch sees few of them and continued to send.
+TEST(ControllerLoadControl, ConsecutiveLossesLengthenBackOff) {
+  Settings s = TestSettings();
   s.softswitch_count = 100;
-  Bench b(s);
+  ControllerFixture fixture(s);
   std::vector<TimeUs> sent_at;
   for (int i = 0; i < 300; ++i) {
-    b.now += 100 * kMs;
-    const CallId call = b.Offer(1);
-    if (b.SentTo() == 1) {
-      sent_at.push_back(b.now);
-      b.End(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
+    fixture.now += 100 * kMs;
+    const CallId call = fixture.OfferCall(1);
+    if (fixture.SentTo() == 1) {
+      sent_at.push_back(fixture.now);
+      fixture.EndAttempt(call, 1, Outcome::kRejected, RejectCause::kProcessorFull);
     }
   }
   ASSERT_GE(sent_at.size(), 3U);
@@ -744,453 +750,455 @@
   EXPECT_GE(sent_at[2] - sent_at[1], 2000 * kMs);
 }
 
-TEST(Failures, AReportedCutIsObeyed) {
-  Bench b;
-  const CallId call = b.Offer(1);
-  b.Stands(call, 1, 100 * kMs);
-  b.Do(AttemptEnded{.call = call,
-                    .exchange = Bench::Id(1),
-                    .outcome = Outcome::kOk,
-                    .terminal = true,
-                    .report = {20.0F, 20.0F, -1.0F, 0.9F}});
+TEST(ControllerLoadControl, ObeysReportedLoadReduction) {
+  ControllerFixture fixture;
+  const CallId call = fixture.OfferCall(1);
+  fixture.EstablishCall(call, 1, 100 * kMs);
+  fixture.Handle(AttemptEnded{.call = call,
+                              .exchange = ControllerFixture::IdOf(1),
+                              .outcome = Outcome::kOk,
+                              .terminal = true,
+                              .report = {20.0F, 20.0F, -1.0F, 0.9F}});
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
-    b.now += 5 * kMs;
-    b.Circuits(1, 20.0F);
-    b.Offer(1);
-    sent += b.SentTo() == 1 ? 1 : 0;
+    fixture.now += 5 * kMs;
+    fixture.ReportCircuits(1, 20.0F);
+    fixture.OfferCall(1);
+    sent += fixture.SentTo() == 1 ? 1 : 0;
   }
   EXPECT_LT(sent, 40);
 }
 
-TEST(Failures, ARedialThatCannotBeInTimeDoesNotOverflow) {
-  Bench b;
-  b.Status(1, ExchangeStatus::kDraining);
+TEST(ControllerRedial, LateRedialDoesNotOverflow) {
+  ControllerFixture fixture;
+  fixture.SetStatus(1, ExchangeStatus::kDraining);
   const CallOffered offer{.call = 900, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1};
-  b.Do(offer);
-  ASSERT_TRUE(b.Refused());
-  b.Status(1, ExchangeStatus::kReady);
-  b.Circuits(1, 0.0F);
-  b.now += 1400 * kMs;
+  fixture.Handle(offer);
+  ASSERT_TRUE(fixture.IsRefused());
+  fixture.SetStatus(1, ExchangeStatus::kReady);
+  fixture.ReportCircuits(1, 0.0F);
+  fixture.now += 1400 * kMs;
   CallOffered again = offer;
   again.call = 901;
-  b.Do(again);
-  EXPECT_EQ(b.SentTo(), -1);
+  fixture.Handle(again);
+  EXPECT_EQ(fixture.SentTo(), -1);
   again.call = 902;
   again.number_called = 78;
-  b.Do(again);
-  EXPECT_GT(b.SentTo(), 1);
-}
-
-// A third of the pairs have no group: their calls were thinned and held as if they overflowed one.
-TEST(Failures, APairWithoutAGroupGoesOverATandem) {
-  Bench b;
-  b.Circuits(1, 0.0F, 0.0F);
-  b.Offer(1);
-  EXPECT_GT(b.SentTo(), 1);
-  // They raise no reserve: on the second leg the last circuit is still given to transit.
-  for (int i = 0; i < 20; ++i) b.Offer(1);
-  b.Circuits(2, 1.0F);
-  b.Transit(2);
-  EXPECT_EQ(b.SentTo(), 2);
-}
-
-// A late redial gets no overflow; over a pair without a group that would leave it no route at all.
-TEST(Failures, ALateRedialToAPairWithoutAGroupStillHasARoute) {
-  Bench b;
-  b.Status(1, ExchangeStatus::kDraining);
+  fixture.Handle(again);
+  EXPECT_GT(fixture.SentTo(), 1);
+}
+
+// A third of the pairs of exchanges have no direct group; their calls were limited and queued as if they were overflow.
+TEST(ControllerTandem, UsesTandemWithoutDirectGroup) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F, 0.0F);
+  fixture.OfferCall(1);
+  EXPECT_GT(fixture.SentTo(), 1);
+  // They reserve nothing: on the second leg the last circuit is still given to a transit call.
+  for (int i = 0; i < 20; ++i) fixture.OfferCall(1);
+  fixture.ReportCircuits(2, 1.0F);
+  fixture.OfferTransitCall(2);
+  EXPECT_EQ(fixture.SentTo(), 2);
+}
+
+// A late redial may not overflow, which would leave it no route at all without a direct group.
+TEST(ControllerTandem, LateRedialUsesTandemWithoutDirectGroup) {
+  ControllerFixture fixture;
+  fixture.SetStatus(1, ExchangeStatus::kDraining);
   CallOffered offer{.call = 900, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1};
-  b.Do(offer);
-  ASSERT_TRUE(b.Refused());
-  b.Status(1, ExchangeStatus::kReady);
-  b.Circuits(1, 0.0F, 0.0F);
-  b.now += 1400 * kMs;
-  b.Circuits(2, 20.0F);
-  b.now += 10 * kMs;  // else the call would count as read after an own stall
+  fixture.Handle(offer);
+  ASSERT_TRUE(fixture.IsRefused());
+  fixture.SetStatus(1, ExchangeStatus::kReady);
+  fixture.ReportCircuits(1, 0.0F, 0.0F);
+  fixture.now += 1400 * kMs;
+  fixture.ReportCircuits(2, 20.0F);
+  fixture.now += 10 * kMs;  // otherwise the call would count as read after a stall
   offer.call = 901;
-  b.Do(offer);
-  EXPECT_GT(b.SentTo(), 1);
+  fixture.Handle(offer);
+  EXPECT_GT(fixture.SentTo(), 1);
 }
 
-TEST(Failures, AGroupTooNarrowForACallCountsAsNone) {
-  Bench b;
-  b.Circuits(1, 3.0F, 3.0F);
-  b.Offer(1, 4.0);
-  EXPECT_GT(b.SentTo(), 1);
+TEST(ControllerTandem, UsesTandemWhenDirectGroupIsTooNarrow) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 3.0F, 3.0F);
+  fixture.OfferCall(1, 4.0);
+  EXPECT_GT(fixture.SentTo(), 1);
 }
 
-// The ranking ignores the second leg; the tandem that let the last call through is tried before one that did
-// not.
-TEST(Failures, TheSecondLegIsRemembered) {
+// The ranking ignores the second leg. The tandem that completed the last call is preferred to one that returned it.
+TEST(ControllerTandem, PrefersTandemThatCompletedCalls) {
   for (std::uint64_t seed = 1; seed < 20; ++seed) {
-    Bench b(PlainSettings(), seed);
-    b.Circuits(1, 0.0F, 0.0F);
+    ControllerFixture fixture(TestSettings(), seed);
+    fixture.ReportCircuits(1, 0.0F, 0.0F);
     CallId call = 0;
     do {
-      call = b.Offer(1);
-    } while (b.SentTo() < 0);
-    const int back = b.SentTo();
-    b.End(call, back, Outcome::kRejected, RejectCause::kCrankback);
-    if (b.SentTo() < 0) continue;  // thinned
-    const int through = b.SentTo();
-    ASSERT_EQ(through, 5 - back);
-    b.Stands(call, through, 50 * kMs, 1);
-    b.Circuits(back, 20.0F);  // more free circuits than the other
-    b.Circuits(through, 15.0F);
+      call = fixture.OfferCall(1);
+    } while (fixture.SentTo() < 0);
+    const int returning_tandem = fixture.SentTo();
+    fixture.EndAttempt(call, returning_tandem, Outcome::kRejected, RejectCause::kCrankback);
+    if (fixture.SentTo() < 0) continue;  // the overflow was refused at random
+    const int completing_tandem = fixture.SentTo();
+    ASSERT_EQ(completing_tandem, 5 - returning_tandem);
+    fixture.EstablishCall(call, completing_tandem, 50 * kMs, 1);
+    fixture.ReportCircuits(returning_tandem, 20.0F);  // more free circuits than the other tandem
+    fixture.ReportCircuits(completing_tandem, 15.0F);
     for (int i = 0; i < 10; ++i) {
-      const CallId next = b.Offer(1);
-      if (b.SentTo() < 0) continue;
-      EXPECT_EQ(b.SentTo(), through);
-      b.Stands(next, through, 50 * kMs);
+      const CallId next = fixture.OfferCall(1);
+      if (fixture.SentTo() < 0) continue;
+      EXPECT_EQ(fixture.SentTo(), completing_tandem);
+      fixture.EstablishCall(next, completing_tandem, 50 * kMs);
     }
   }
 }
 
-// A tandem may be good for other destinations: what is remembered is the leg.
-TEST(Failures, TheSecondLegIsRememberedByDestination) {
-  Bench b;
+// A tandem may work well for other destinations, so outcomes are recorded by tandem and destination.
+TEST(ControllerTandem, RemembersOutcomesByDestination) {
+  ControllerFixture fixture;
   DirectoryUpdate delta{.kind = DirectoryKind::kDelta};
-  delta.entries.push_back({.exchange = Bench::Id(9), .number = 9});
-  b.Do(delta);
+  delta.entries.push_back({.exchange = ControllerFixture::IdOf(9), .number = 9});
+  fixture.Handle(delta);
   for (const int to : {1, 9}) {
-    b.Circuits(to, 0.0F, 0.0F);
+    fixture.ReportCircuits(to, 0.0F, 0.0F);
   }
-  const auto over = [&b](int to, int tandem, bool stands) {
-    b.Circuits(2, tandem == 2 ? 20.0F : 0.0F);
-    b.Circuits(3, tandem == 3 ? 20.0F : 0.0F);
-    const CallId call = b.Offer(to);
-    ASSERT_EQ(b.SentTo(), tandem);
-    if (stands) {
-      b.Stands(call, tandem, 50 * kMs);
+  const auto route_via = [&fixture](int to, int tandem, bool succeeds) {
+    fixture.ReportCircuits(2, tandem == 2 ? 20.0F : 0.0F);
+    fixture.ReportCircuits(3, tandem == 3 ? 20.0F : 0.0F);
+    const CallId call = fixture.OfferCall(to);
+    ASSERT_EQ(fixture.SentTo(), tandem);
+    if (succeeds) {
+      fixture.EstablishCall(call, tandem, 50 * kMs);
     } else {
-      b.End(call, tandem, Outcome::kRejected, RejectCause::kCrankback);
+      fixture.EndAttempt(call, tandem, Outcome::kRejected, RejectCause::kCrankback);
     }
   };
-  for (int i = 0; i < 3; ++i) over(9, 2, true);
-  over(1, 3, true);
-  over(1, 2, false);
+  for (int i = 0; i < 3; ++i) route_via(9, 2, true);
+  route_via(1, 3, true);
+  route_via(1, 2, false);
   int sent = 0;
   for (int i = 0; i < 20; ++i) {
-    b.Circuits(2, 20.0F);
-    b.Circuits(3, 10.0F);
-    const CallId call = b.Offer(1);
-    if (b.SentTo() < 0) continue;
+    fixture.ReportCircuits(2, 20.0F);
+    fixture.ReportCircuits(3, 10.0F);
+    const CallId call = fixture.OfferCall(1);
+    if (fixture.SentTo() < 0) continue;
     ++sent;
-    EXPECT_EQ(b.SentTo(), 3);
-    b.Stands(call, 3, 50 * kMs);
+    EXPECT_EQ(fixture.SentTo(), 3);
+    fixture.EstablishCall(call, 3, 50 * kMs);
   }
   EXPECT_GT(sent, 5);
 }
 
-// The centre's advice knows the second leg.
-TEST(Failures, AdviceCountsForAPairWithoutAGroup) {
-  Bench b;
-  b.Circuits(1, 0.0F, 0.0F);
-  b.Circuits(2, 20.0F);
-  b.Circuits(3, 10.0F);
-  b.Do(CallOffered{.call = 900, .number_called = 7, .budget_us = 3000 * kMs, .destination = 1, .via = 3});
-  EXPECT_EQ(b.SentTo(), 3);
+// The advice takes the second leg into account.
+TEST(ControllerTandem, PrefersAdvisedTandemWithoutDirectGroup) {
+  ControllerFixture fixture;
+  fixture.ReportCircuits(1, 0.0F, 0.0F);
+  fixture.ReportCircuits(2, 20.0F);
+  fixture.ReportCircuits(3, 10.0F);
+  fixture.Handle(CallOffered{.call = 900, .number_called = 7, .budget_us = 3000 * kMs, .destination = 1, .via = 3});
+  EXPECT_EQ(fixture.SentTo(), 3);
 }
 
-// A caller that redials a dozen times got a dozen draws, so loss control let nearly everyone in.
-TEST(Failures, AllTriesOfACallerShareOneDraw) {
-  int callers = 0;
+// A caller who redialled a dozen times got a dozen random draws, so loss control admitted nearly everyone.
+TEST(ControllerRedial, AttemptsOfCallerShareOneDraw) {
+  int admitted_callers = 0;
   for (std::uint64_t number = 1; number <= 40; ++number) {
-    Bench b(PlainSettings(), number);
-    b.Complete(1, 0.0F, 0.6F);
-    bool let_in = false;
-    for (CallId attempt = 0; attempt < 12 && !let_in; ++attempt) {
-      b.Do(CallOffered{.call = 900 + attempt, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1});
-      let_in = b.SentTo() == 1;
-      b.now += 20 * kMs;
+    ControllerFixture fixture(TestSettings(), number);
+    fixture.CompleteCall(1, 0.0F, 0.6F);
+    bool admitted = false;
+    for (CallId attempt = 0; attempt < 12 && !admitted; ++attempt) {
+      fixture.Handle(
+          CallOffered{.call = 900 + attempt, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1});
+      admitted = fixture.SentTo() == 1;
+      fixture.now += 20 * kMs;
     }
-    callers += let_in ? 1 : 0;
+    admitted_callers += admitted ? 1 : 0;
   }
-  EXPECT_GT(callers, 4);
-  EXPECT_LT(callers, 32);
+  EXPECT_GT(admitted_callers, 4);
+  EXPECT_LT(admitted_callers, 32);
 }
 
-// Impatient callers of one customer: their set-ups cannot stand, and must not be taken for a pressed
-// exchange.
-TEST(Failures, ASetUpThatCannotStandBeforeTheCallerHangsUpIsNotStarted) {
-  Bench b;
+// Set-ups of impatient callers cannot be established in time; this must not count as overload of the exchange.
+TEST(ControllerLoadControl, DoesNotStartSetUpThatOutlastsBudget) {
+  ControllerFixture fixture;
   for (int i = 0; i < 8; ++i) {
-    const CallId call = b.Offer(1);
-    b.now += 400 * kMs;
-    b.Stands(call, 1, 400 * kMs);
-    b.End(call, 1, Outcome::kOk);
+    const CallId call = fixture.OfferCall(1);
+    fixture.now += 400 * kMs;
+    fixture.EstablishCall(call, 1, 400 * kMs);
+    fixture.EndAttempt(call, 1, Outcome::kOk);
   }
   int sent = 0;
   for (CallId id = 900; id < 950; ++id) {
-    b.Do(CallOffered{.call = id, .number_called = id, .budget_us = 200 * kMs, .destination = 1});
-    sent += b.SentTo() == 1 ? 1 : 0;
-    b.now += 10 * kMs;
+    fixture.Handle(CallOffered{.call = id, .number_called = id, .budget_us = 200 * kMs, .destination = 1});
+    sent += fixture.SentTo() == 1 ? 1 : 0;
+    fixture.now += 10 * kMs;
   }
   EXPECT_LE(sent, 2);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 1);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 1);
 }
 
-TEST(Failures, ATimeoutOfAnImpatientCallerSaysLittleOfTheFarEnd) {
-  Bench b;
+TEST(ControllerLoadControl, EarlyTimeoutHasLittleWeight) {
+  ControllerFixture fixture;
   for (int i = 0; i < 5; ++i) {
-    const CallId call = b.Offer(1);
-    if (b.SentTo() == 1) b.End(call, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 100 * kMs);
+    const CallId call = fixture.OfferCall(1);
+    if (fixture.SentTo() == 1) fixture.EndAttempt(call, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 100 * kMs);
   }
   int sent = 0;
   for (int i = 0; i < 10; ++i) {
-    b.Offer(1);
-    sent += b.SentTo() == 1 ? 1 : 0;
+    fixture.OfferCall(1);
+    sent += fixture.SentTo() == 1 ? 1 : 0;
   }
   EXPECT_GE(sent, 7);
 }
 
-// Callers who hang up dial again as those who were refused do.
-TEST(Failures, ACallerWhoHungUpIsKnownWhenDiallingAgain) {
-  Bench b;
-  for (int i = 1; i < 4; ++i) b.Circuits(i, 0.0F);
+// Callers who hang up redial in the same way as refused ones.
+TEST(ControllerRedial, RecognisesRedialAfterAbandonedCall) {
+  ControllerFixture fixture;
+  for (int i = 1; i < 4; ++i) fixture.ReportCircuits(i, 0.0F);
   CallOffered offer{.call = 900, .number_called = 77, .budget_us = 3000 * kMs, .destination = 1};
-  b.Do(offer);
-  EXPECT_FALSE(b.Refused());
-  b.Do(CallAbandoned{900});
-  b.now += 1400 * kMs;
-  b.Circuits(2, 20.0F);
-  b.now += 10 * kMs;
+  fixture.Handle(offer);
+  EXPECT_FALSE(fixture.IsRefused());
+  fixture.Handle(CallAbandoned{900});
+  fixture.now += 1400 * kMs;
+  fixture.ReportCircuits(2, 20.0F);
+  fixture.now += 10 * kMs;
   offer.call = 901;
-  b.Do(offer);
-  EXPECT_EQ(b.SentTo(), -1);
+  fixture.Handle(offer);
+  EXPECT_EQ(fixture.SentTo(), -1);
 }
 
-// With a call every few seconds to each exchange no one of them shows much; together they do.
-TEST(Failures, LossesOfAllExchangesArePooled) {
-  Settings s = PlainSettings();
-  Bench b(s);
+// With a call every few seconds to each exchange, no exchange shows much by itself, but all together do.
+TEST(ControllerLoadControl, PoolsLossesOfAllExchanges) {
+  Settings s = TestSettings();
+  ControllerFixture fixture(s);
   for (int i = 0; i < 12; ++i) {
-    const CallId call = b.Offer(1 + i % 3);
-    if (b.SentTo() > 0) b.End(call, 1 + i % 3, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
+    const CallId call = fixture.OfferCall(1 + i % 3);
+    if (fixture.SentTo() > 0)
+      fixture.EndAttempt(call, 1 + i % 3, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
   }
-  // A new exchange that nothing is known of.
+  // A new exchange without any observations.
   DirectoryUpdate delta{.kind = DirectoryKind::kDelta};
-  delta.entries.push_back({.exchange = Bench::Id(9), .number = 9});
-  b.Do(delta);
+  delta.entries.push_back({.exchange = ControllerFixture::IdOf(9), .number = 9});
+  fixture.Handle(delta);
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
-    const CallId call = b.Offer(9);
-    if (b.SentTo() == 9) {
+    const CallId call = fixture.OfferCall(9);
+    if (fixture.SentTo() == 9) {
       ++sent;
-      b.Do(CallAbandoned{call});
+      fixture.Handle(CallAbandoned{call});
     }
   }
   EXPECT_LT(sent, 15);
 }
 
-// Trials of many senders together must not keep a slowed exchange jammed.
-TEST(Failures, TrialsAreFewerWithMoreSenders) {
-  const auto trials = [](int senders) {
-    Settings s = PlainSettings();
-    s.softswitch_count = senders;
-    Bench b(s);
+// The trial set-ups of many softswitches together must not keep a slow exchange overloaded.
+TEST(ControllerLoadControl, TrialRateFallsWithSoftswitchCount) {
+  const auto count_trials = [](int softswitches) {
+    Settings s = TestSettings();
+    s.softswitch_count = softswitches;
+    ControllerFixture fixture(s);
     int sent = 0;
     for (int i = 0; i < 600; ++i) {
-      b.now += 100 * kMs;
+      fixture.now += 100 * kMs;
       const auto id = static_cast<CallId>(900 + i);
-      b.Do(CallOffered{.call = id, .number_called = 5000 + id, .budget_us = 50 * kMs, .destination = 1});
-      if (b.SentTo() != 1) continue;
+      fixture.Handle(CallOffered{.call = id, .number_called = 5000 + id, .budget_us = 50 * kMs, .destination = 1});
+      if (fixture.SentTo() != 1) continue;
       ++sent;
-      b.End(id, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
+      fixture.EndAttempt(id, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
     }
     return sent;
   };
-  EXPECT_GT(trials(2), 10);
-  EXPECT_LE(trials(100), 3);
-}
-
-// After an own stall the answers that waited are read before an exchange is called silent, and the calls that
-// waited are as old as their budgets say.
-TEST(Failures, AnOwnStallIsNotTheFarEndsSilence) {
-  Bench b;
-  const CallId out = b.Offer(1);
-  b.now += 1500 * kMs;
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 1);
-  b.Stands(out, 1, 1500 * kMs);
-}
-
-// Late calls were kept waiting for a second after a stall, for nothing that could serve them.
-TEST(Failures, AfterAnOwnStallALateCallIsSentOrAnsweredAtOnce) {
-  for (const float spare : {20.0F, 3.0F}) {
-    Bench b;
-    b.Circuits(1, spare);
-    b.Do(CallOffered{.call = 899, .number_called = 6, .budget_us = 9000 * kMs, .destination = 2});
-    b.now += 1400 * kMs;
-    b.Do(CallOffered{.call = 900, .number_called = 7, .budget_us = 7600 * kMs, .destination = 1});
-    EXPECT_EQ(b.SentTo(), spare > 10.0F ? 1 : -1);
-    EXPECT_EQ(b.Refused(), spare < 10.0F);
+  EXPECT_GT(count_trials(2), 10);
+  EXPECT_LE(count_trials(100), 3);
+}
+
+// After a stall, the answers that waited are read before an exchange counts as unresponsive. The age of the calls that
+// waited is derived from their budgets.
+TEST(ControllerStall, OwnStallDoesNotCountAsUnresponsiveExchange) {
+  ControllerFixture fixture;
+  const CallId out = fixture.OfferCall(1);
+  fixture.now += 1500 * kMs;
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 1);
+  fixture.EstablishCall(out, 1, 1500 * kMs);
+}
+
+// After a stall, late calls were queued for a second although nothing could serve them.
+TEST(ControllerStall, SendsOrAnswersLateCallAtOnce) {
+  for (const float free_circuits : {20.0F, 3.0F}) {
+    ControllerFixture fixture;
+    fixture.ReportCircuits(1, free_circuits);
+    fixture.Handle(CallOffered{.call = 899, .number_called = 6, .budget_us = 9000 * kMs, .destination = 2});
+    fixture.now += 1400 * kMs;
+    fixture.Handle(CallOffered{.call = 900, .number_called = 7, .budget_us = 7600 * kMs, .destination = 1});
+    EXPECT_EQ(fixture.SentTo(), free_circuits > 10.0F ? 1 : -1);
+    EXPECT_EQ(fixture.IsRefused(), free_circuits < 10.0F);
   }
 }
 
-TEST(Failures, ACallReadAfterAnOwnStallIsOld) {
-  Bench b;
-  b.Offer(2);
-  b.Circuits(1, 0.0F);
-  b.now += 1400 * kMs;
-  // Waited 1.4 s of an aim of 1.5 s: no overflow for it, as for a late redial.
-  b.Do(CallOffered{.call = 900, .number_called = 7, .budget_us = 1600 * kMs, .destination = 1});
-  EXPECT_EQ(b.SentTo(), -1);
-  b.Do(CallOffered{.call = 901, .number_called = 8, .budget_us = 3000 * kMs, .destination = 1});
-  EXPECT_GT(b.SentTo(), 1);
+TEST(ControllerStall, CallReadAfterStallCountsAsLate) {
+  ControllerFixture fixture;
+  fixture.OfferCall(2);
+  fixture.ReportCircuits(1, 0.0F);
+  fixture.now += 1400 * kMs;
+  // It has waited 1.4 s of a target delay of 1.5 s, so it may not overflow, like a late redial.
+  fixture.Handle(CallOffered{.call = 900, .number_called = 7, .budget_us = 1600 * kMs, .destination = 1});
+  EXPECT_EQ(fixture.SentTo(), -1);
+  fixture.Handle(CallOffered{.call = 901, .number_called = 8, .budget_us = 3000 * kMs, .destination = 1});
+  EXPECT_GT(fixture.SentTo(), 1);
 }
 
-// 'allowed' is for all senders together; read as a sender's own share it cut calm exchanges.
-TEST(Failures, ADipOfTheAllowedRateCutsAndItsSizeDoesNot) {
-  Settings s = PlainSettings();
+// The allowed rate is for all softswitches together. It was taken for a single softswitch's share, which limited calls
+// to exchanges that were not overloaded.
+TEST(ControllerLoadControl, ReactsToFallOfAllowedRateNotToItsLevel) {
+  Settings s = TestSettings();
   s.softswitch_count = 80;
   s.report_fields[3] = ReportField::kAllowedRate;
-  Bench b(s);
-  const auto sent_of_40 = [&b] {
+  ControllerFixture fixture(s);
+  const auto count_sent_of_40 = [&fixture] {
     int sent = 0;
     for (int i = 0; i < 40; ++i) {
-      b.Circuits(1, 20.0F);
-      const CallId call = b.Offer(1);
-      if (b.SentTo() != 1) continue;
+      fixture.ReportCircuits(1, 20.0F);
+      const CallId call = fixture.OfferCall(1);
+      if (fixture.SentTo() != 1) continue;
       ++sent;
-      b.Stands(call, 1, 100 * kMs);
+      fixture.EstablishCall(call, 1, 100 * kMs);
     }
     return sent;
   };
-  b.Complete(1, 0.0F, 10.0F);
-  EXPECT_EQ(sent_of_40(), 40);
-  b.Complete(1, 0.0F, 0.5F);
-  EXPECT_LT(sent_of_40(), 20);
-}
-
-TEST(Failures, UnknownCallsAndExchangesAreHarmless) {
-  Bench b;
-  b.End(12345, 1, Outcome::kOk);
-  b.End(12345, 50, Outcome::kTimeout);
-  b.Stands(12345, 50, 5);
-  b.Do(CallAbandoned{12345});
-  b.Do(TimerExpired{12345});
-  EXPECT_TRUE(b.actions.empty());
-  b.Offer(77);
-  EXPECT_TRUE(b.Refused());
-}
-
-TEST(Pools, ACallGoesOnlyToAPoolOfItsClass) {
-  Settings s = PlainSettings();
+  fixture.CompleteCall(1, 0.0F, 10.0F);
+  EXPECT_EQ(count_sent_of_40(), 40);
+  fixture.CompleteCall(1, 0.0F, 0.5F);
+  EXPECT_LT(count_sent_of_40(), 20);
+}
+
+TEST(ControllerRules, IgnoresUnknownCallsAndExchanges) {
+  ControllerFixture fixture;
+  fixture.EndAttempt(12345, 1, Outcome::kOk);
+  fixture.EndAttempt(12345, 50, Outcome::kTimeout);
+  fixture.EstablishCall(12345, 50, 5);
+  fixture.Handle(CallAbandoned{12345});
+  fixture.Handle(TimerExpired{12345});
+  EXPECT_TRUE(fixture.actions.empty());
+  fixture.OfferCall(77);
+  EXPECT_TRUE(fixture.IsRefused());
+}
+
+TEST(ControllerPools, UsesOnlyPoolsOfClass) {
+  Settings s = TestSettings();
   s.topology = Topology::kGroups;
   s.own_number = -1;
   s.classes[0].pools = {1, 3};
-  Bench b(s);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 1);
-  b.Circuits(1, 0.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 3);
-  b.Circuits(3, 0.0F);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), -1);
-}
-
-TEST(Discovery, AFailedSubscriptionIsRepeated) {
-  Settings s = PlainSettings();
+  ControllerFixture fixture(s);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 1);
+  fixture.ReportCircuits(1, 0.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 3);
+  fixture.ReportCircuits(3, 0.0F);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), -1);
+}
+
+TEST(ControllerDiscovery, RepeatsFailedSubscription) {
+  Settings s = TestSettings();
   s.discovery_mode = DiscoveryMode::kSubscribe;
-  Bench b(s);
-  b.Do(DirectoryUpdate{.kind = DirectoryKind::kFailed});
-  const auto* timer = b.First<SetTimer>();
+  ControllerFixture fixture(s);
+  fixture.Handle(DirectoryUpdate{.kind = DirectoryKind::kFailed});
+  const auto* timer = fixture.FirstAction<SetTimer>();
   ASSERT_NE(timer, nullptr);
-  b.now += timer->delay_us;
+  fixture.now += timer->delay_us;
   const auto token = timer->token;
-  b.Do(TimerExpired{token});
-  EXPECT_NE(b.First<SubscribeDirectory>(), nullptr);
+  fixture.Handle(TimerExpired{token});
+  EXPECT_NE(fixture.FirstAction<SubscribeDirectory>(), nullptr);
 }
 
-// Guards FailsNowAndThen: an ailing exchange fails three set-ups in five.
-TEST(Errors, ADirectSetUpThatFailsGoesOnceMoreWhileOthersStandThere) {
-  Bench b;
-  for (int i = 0; i < 5; ++i) b.Complete(1, 0.0F, 0.0F);
-  const CallId call = b.Offer(1);
-  b.now += 40 * kMs;
-  b.End(call, 1, Outcome::kError, RejectCause::kNone, 0, {}, 40 * kMs);
-  EXPECT_EQ(b.SentTo(), 1);
-  b.now += 40 * kMs;
-  b.End(call, 1, Outcome::kError, RejectCause::kNone, 1, {}, 40 * kMs);
-  EXPECT_EQ(b.SentTo(), 1);
+// Covers ShouldRepeatDirect: a faulty exchange fails three set-ups in five.
+TEST(ControllerErrors, RepeatsFailedDirectSetUpWhileOthersSucceed) {
+  ControllerFixture fixture;
+  for (int i = 0; i < 5; ++i) fixture.CompleteCall(1, 0.0F, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  fixture.now += 40 * kMs;
+  fixture.EndAttempt(call, 1, Outcome::kError, RejectCause::kNone, 0, {}, 40 * kMs);
+  EXPECT_EQ(fixture.SentTo(), 1);
+  fixture.now += 40 * kMs;
+  fixture.EndAttempt(call, 1, Outcome::kError, RejectCause::kNone, 1, {}, 40 * kMs);
+  EXPECT_EQ(fixture.SentTo(), 1);
 }
 
-TEST(Errors, WhereNothingStandsAFailedSetUpIsAnsweredAtOnce) {
-  Bench b;
+TEST(ControllerErrors, AnswersFailedSetUpWhenNoneSucceeds) {
+  ControllerFixture fixture;
   int repeated = 0;
   for (int i = 0; i < 20; ++i) {
-    const CallId call = b.Offer(1);
-    if (b.SentTo() != 1) continue;  // held back, which is as good
+    const CallId call = fixture.OfferCall(1);
+    if (fixture.SentTo() != 1) continue;  // not admitted, which is as good
     int attempt = 0;
-    while (b.SentTo() == 1) {
-      b.now += 40 * kMs;
-      b.End(call, 1, Outcome::kError, RejectCause::kNone, attempt++, {}, 40 * kMs);
+    while (fixture.SentTo() == 1) {
+      fixture.now += 40 * kMs;
+      fixture.EndAttempt(call, 1, Outcome::kError, RejectCause::kNone, attempt++, {}, 40 * kMs);
     }
-    EXPECT_TRUE(b.Failed() || b.Refused());
+    EXPECT_TRUE(fixture.IsFailed() || fixture.IsRefused());
     if (i >= 10) repeated += std::max(0, attempt - 1);
   }
   EXPECT_EQ(repeated, 0);
 }
 
-TEST(Errors, ADirectSetUpThatBrokeGoesOnceMoreAfterTheReleaseWait) {
-  Bench b;
-  b.Complete(1, 0.0F, 0.0F);
-  const CallId call = b.Offer(1);
-  b.now += 40 * kMs;
-  b.End(call, 1, Outcome::kReset, RejectCause::kNone, 0, {}, 40 * kMs);
-  EXPECT_TRUE(b.actions.size() == 1 && b.First<SetTimer>() != nullptr);
-  b.now += 299 * kMs;
-  b.Do(TimerExpired{call});
-  EXPECT_EQ(b.SentTo(), -1);
-  b.now += 1 * kMs;
-  b.Do(TimerExpired{call});
-  EXPECT_EQ(b.SentTo(), 1);
+TEST(ControllerErrors, RepeatsBrokenDirectSetUpAfterResendGuard) {
+  ControllerFixture fixture;
+  fixture.CompleteCall(1, 0.0F, 0.0F);
+  const CallId call = fixture.OfferCall(1);
+  fixture.now += 40 * kMs;
+  fixture.EndAttempt(call, 1, Outcome::kReset, RejectCause::kNone, 0, {}, 40 * kMs);
+  EXPECT_TRUE(fixture.actions.size() == 1 && fixture.FirstAction<SetTimer>() != nullptr);
+  fixture.now += 299 * kMs;
+  fixture.Handle(TimerExpired{call});
+  EXPECT_EQ(fixture.SentTo(), -1);
+  fixture.now += 1 * kMs;
+  fixture.Handle(TimerExpired{call});
+  EXPECT_EQ(fixture.SentTo(), 1);
 }
 
-TEST(Errors, WhatMayNotBeRepeatedOrMetABusyNumberIsAnsweredAtOnce) {
-  Settings s = PlainSettings();
+TEST(ControllerErrors, AnswersUnrepeatableOrBusyCallAtOnce) {
+  Settings s = TestSettings();
   s.classes[0].retry_semantics = RetrySemantics::kAtMostOnce;
-  Bench once(s);
-  once.Complete(1, 0.0F, 0.0F);
-  once.End(once.Offer(1), 1, Outcome::kError);
-  EXPECT_TRUE(once.Failed());
-  Bench busy;
-  busy.Complete(1, 0.0F, 0.0F);
-  busy.End(busy.Offer(1), 1, Outcome::kError, RejectCause::kLinesBusy);
-  EXPECT_TRUE(busy.Failed());
-}
-
-// Guards OldestUnanswered and the time-out in Learn: one answer lost on its way held all calls back for its whole wait.
-TEST(LostAnswers, OneThatNeverCameHoldsNothingBackWhileLaterOnesStand) {
-  Bench b;
-  b.Complete(1, 0.0F, 0.0F);
-  const CallId lost = b.Offer(1);
-  ASSERT_EQ(b.SentTo(), 1);
+  ControllerFixture at_most_once(s);
+  at_most_once.CompleteCall(1, 0.0F, 0.0F);
+  at_most_once.EndAttempt(at_most_once.OfferCall(1), 1, Outcome::kError);
+  EXPECT_TRUE(at_most_once.IsFailed());
+  ControllerFixture busy;
+  busy.CompleteCall(1, 0.0F, 0.0F);
+  busy.EndAttempt(busy.OfferCall(1), 1, Outcome::kError, RejectCause::kLinesBusy);
+  EXPECT_TRUE(busy.IsFailed());
+}
+
+// Covers OldestUnansweredAge and the timeout in LearnFromAttempt: an answer lost in transit kept all calls from the
+// exchange until its timeout.
+TEST(ControllerLostAnswers, OneLostAnswerDoesNotReduceLoadWhileLaterOnesArrive) {
+  ControllerFixture fixture;
+  fixture.CompleteCall(1, 0.0F, 0.0F);
+  const CallId lost = fixture.OfferCall(1);
+  ASSERT_EQ(fixture.SentTo(), 1);
   for (int i = 0; i < 14; ++i) {
-    b.now += 50 * kMs;
-    const CallId call = b.Offer(1);
-    ASSERT_EQ(b.SentTo(), 1) << "after " << i;
-    b.now += 50 * kMs;
-    b.Stands(call, 1, 50 * kMs);
+    fixture.now += 50 * kMs;
+    const CallId call = fixture.OfferCall(1);
+    ASSERT_EQ(fixture.SentTo(), 1) << "after " << i;
+    fixture.now += 50 * kMs;
+    fixture.EstablishCall(call, 1, 50 * kMs);
   }
-  b.now += 100 * kMs;
-  b.End(lost, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
-  b.Offer(1);
-  EXPECT_EQ(b.SentTo(), 1);
+  fixture.now += 100 * kMs;
+  fixture.EndAttempt(lost, 1, Outcome::kTimeout, RejectCause::kNone, 0, {}, 1500 * kMs);
+  fixture.OfferCall(1);
+  EXPECT_EQ(fixture.SentTo(), 1);
 }
 
-TEST(LostAnswers, AnExchangeThatAnswersNothingIsStillHeldBack) {
-  Bench b;
-  b.Complete(1, 0.0F, 0.0F);
-  b.Offer(1);
+TEST(ControllerLostAnswers, LimitsSetUpsToExchangeWithoutAnswers) {
+  ControllerFixture fixture;
+  fixture.CompleteCall(1, 0.0F, 0.0F);
+  fixture.OfferCall(1);
   int sent = 0;
   for (int i = 0; i < 20; ++i) {
-    b.now += 100 * kMs;
-    b.Offer(1);
-    sent += b.SentTo() == 1 ? 1 : 0;
+    fixture.now += 100 * kMs;
+    fixture.OfferCall(1);
+    sent += fixture.SentTo() == 1 ? 1 : 0;
   }
   EXPECT_LE(sent, 7);
 }
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -1,4 +1,5 @@
-// A controller of exchange 0 among exchanges 0..3 (ids 100..103), all ready, with a clock and an ear.
+// Test fixture: a controller of exchange 0 in a mesh of the exchanges 0 to 3 (ids 100 to 103), all ready, with a test
+// clock and the actions of the latest event.
 #ifndef CROFTRUN_TESTS_FIXTURE_H_
 #define CROFTRUN_TESTS_FIXTURE_H_
 
@@ -14,7 +15,7 @@
 constexpr TimeUs kMs = 1000;
 constexpr TimeUs kStart = 1000 * 1000 * kMs;
 
-inline Settings PlainSettings() {
+inline Settings TestSettings() {
   Settings s;
   s.own_number = 0;
   s.softswitch_count = 4;
@@ -34,96 +35,96 @@
   return s;
 }
 
-class Bench {
+class ControllerFixture {
  public:
-  explicit Bench(const Settings& settings = PlainSettings(), std::uint64_t seed = 1)
+  explicit ControllerFixture(const Settings& settings = TestSettings(), std::uint64_t seed = 1)
       : controller_(settings, seed, kStart, &actions) {
     DirectoryUpdate list;
     for (int i = 0; i < 4; ++i) {
-      list.entries.push_back({.exchange = Id(i), .zone = i % 2, .number = i});
+      list.entries.push_back({.exchange = IdOf(i), .zone = i % 2, .number = i});
     }
-    Do(list);
-    for (int i = 1; i < 4; ++i) Circuits(i, 20.0F);
+    Handle(list);
+    for (int i = 1; i < 4; ++i) ReportCircuits(i, 20.0F);
   }
 
-  static ExchangeId Id(int number) { return static_cast<ExchangeId>(100 + number); }
+  static ExchangeId IdOf(int number) { return static_cast<ExchangeId>(100 + number); }
 
-  void Do(const Event& event) {
+  void Handle(const Event& event) {
     actions.clear();
     controller_.Handle(now, event, &actions);
   }
-  void Circuits(int number, float spare, float total = 20.0F) {
-    Do(LoadReportReceived{.exchange = Id(number), .report = {spare, total, -1.0F, -1.0F}});
+  void ReportCircuits(int number, float free_circuits, float total_circuits = 20.0F) {
+    Handle(LoadReportReceived{.exchange = IdOf(number), .report = {free_circuits, total_circuits, -1.0F, -1.0F}});
   }
-  void Status(int number, ExchangeStatus status, TimeUs since = 0) {
+  void SetStatus(int number, ExchangeStatus status, TimeUs started_at = 0) {
     DirectoryUpdate delta{.kind = DirectoryKind::kDelta};
     delta.entries.push_back(
-        {.exchange = Id(number), .zone = number % 2, .number = number, .status = status, .since_us = since});
-    Do(delta);
+        {.exchange = IdOf(number), .zone = number % 2, .number = number, .status = status, .since_us = started_at});
+    Handle(delta);
   }
-  CallId Offer(int destination, double width = 1.0, int call_class = 0) {
-    const CallId id = next_++;
-    Do(CallOffered{.call = id,
-                   .call_class = call_class,
-                   .number_called = 5000 + id,
-                   .budget_us = 3000 * kMs,
-                   .destination = destination,
-                   .width = width});
+  CallId OfferCall(int destination, double width = 1.0, int call_class = 0) {
+    const CallId id = next_call_++;
+    Handle(CallOffered{.call = id,
+                       .call_class = call_class,
+                       .number_called = 5000 + id,
+                       .budget_us = 3000 * kMs,
+                       .destination = destination,
+                       .width = width});
     return id;
   }
-  CallId Transit(int destination) {
-    const CallId id = next_++;
-    Do(CallOffered{.call = id, .budget_us = 3000 * kMs, .destination = destination, .via = 3, .in_transit = true});
+  CallId OfferTransitCall(int destination) {
+    const CallId id = next_call_++;
+    Handle(CallOffered{.call = id, .budget_us = 3000 * kMs, .destination = destination, .via = 3, .in_transit = true});
     return id;
   }
-  void Stands(CallId call, int number, TimeUs elapsed, int attempt = 0) {
-    Do(CallEstablished{.call = call, .exchange = Id(number), .attempt = attempt, .elapsed_us = elapsed});
+  void EstablishCall(CallId call, int number, TimeUs elapsed, int attempt = 0) {
+    Handle(CallEstablished{.call = call, .exchange = IdOf(number), .attempt = attempt, .elapsed_us = elapsed});
   }
-  void End(CallId call, int number, Outcome outcome, RejectCause cause = RejectCause::kNone, int attempt = 0,
-           std::vector<float> report = {}, TimeUs elapsed = 1000 * kMs) {
-    Do(AttemptEnded{.call = call,
-                    .exchange = Id(number),
-                    .attempt = attempt,
-                    .outcome = outcome,
-                    .cause = cause,
-                    .elapsed_us = elapsed,
-                    .report = std::move(report)});
+  void EndAttempt(CallId call, int number, Outcome outcome, RejectCause cause = RejectCause::kNone, int attempt = 0,
+                  std::vector<float> report = {}, TimeUs elapsed = 1000 * kMs) {
+    Handle(AttemptEnded{.call = call,
+                        .exchange = IdOf(number),
+                        .attempt = attempt,
+                        .outcome = outcome,
+                        .cause = cause,
+                        .elapsed_us = elapsed,
+                        .report = std::move(report)});
   }
 
-  // A call to `number` that stood after 100 ms and has ended, with the queue and the cut that came with its
-  // end.
-  void Complete(int number, float queue, float cut) {
-    const CallId call = Offer(number);
+  // Offers a call to `number` that is established after 100 ms and has ended. The report at its end states the queue
+  // and the load reduction.
+  void CompleteCall(int number, float queue, float load_reduction) {
+    const CallId call = OfferCall(number);
     now += 100 * kMs;
-    Stands(call, number, 100 * kMs);
-    Do(AttemptEnded{.call = call,
-                    .exchange = Id(number),
-                    .outcome = Outcome::kOk,
-                    .terminal = true,
-                    .report = {20.0F, 20.0F, queue, cut}});
+    EstablishCall(call, number, 100 * kMs);
+    Handle(AttemptEnded{.call = call,
+                        .exchange = IdOf(number),
+                        .outcome = Outcome::kOk,
+                        .terminal = true,
+                        .report = {20.0F, 20.0F, queue, load_reduction}});
   }
 
-  // The exchange the last event sent a call to, by number; -1: none.
+  // Returns the number of the exchange that the latest event sent a set-up to; -1 if it sent none.
   int SentTo() const {
-    const auto* send = First<SendSetUp>();
+    const auto* send = FirstAction<SendSetUp>();
     return send == nullptr ? -1 : static_cast<int>(send->exchange) - 100;
   }
   template <typename T>
-  const T* First() const {
+  const T* FirstAction() const {
     for (const Action& action : actions) {
       if (const auto* found = std::get_if<T>(&action)) return found;
     }
     return nullptr;
   }
-  bool Refused() const { return First<RefuseCall>() != nullptr; }
-  bool Failed() const { return First<FailCall>() != nullptr; }
+  bool IsRefused() const { return FirstAction<RefuseCall>() != nullptr; }
+  bool IsFailed() const { return FirstAction<FailCall>() != nullptr; }
 
   std::vector<Action> actions;
   TimeUs now = kStart;
 
  private:
   CallController controller_;
-  CallId next_ = 1;
+  CallId next_call_ = 1;
 };
 
 }  // namespace croftrun
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -1,5 +1,6 @@
-// Seeded and bounded: mutated frames against a host with live instances, and events that refer to nothing.
-// What counts is that nothing but MalformedFrame comes out, under ASan and UBSan.
+// Randomized robustness tests with fixed seeds: mutated frames for a host with live instances, and events that refer to
+// unknown objects. Frames must cause no exception other than MalformedFrame, and nothing may be reported by ASan and
+// UBSan.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -16,8 +17,9 @@
   for (int i = 0; i < 4; ++i) out->push_back(static_cast<char>(value >> (8 * i)));
 }
 
-// A mesh of three, instance 3 provisioned, one call offered to it, one report heard.
-std::string GoodRecords() {
+// Records of a valid frame: instance 3 with a mesh of three exchanges, one report, one offered call and the end of an
+// attempt.
+std::string ValidRecords() {
   const std::string settings =
       "balancers=3\nfamily_info.home_no=0\nfamily_info.shape=meshed\nallowed.most_tries=4\n"
       "grades.count=1\ngrades.0.slo_us=1000000\ngrades.0.hard_limit_us=9000000\nreport.fields=spare,total,"
@@ -35,13 +37,13 @@
   return bytes;
 }
 
-TEST(Fuzz, MutatedFramesAreAnsweredOrMalformed) {
-  const std::string good = GoodRecords();
+TEST(Fuzz, MutatedFramesAreAnsweredOrRejected) {
+  const std::string valid = ValidRecords();
   std::mt19937_64 random(20261128);
   int answered = 0;
   int malformed = 0;
   for (int round = 0; round < 4000; ++round) {
-    std::string bytes = good;
+    std::string bytes = valid;
     for (auto n = random() % 6; n > 0; --n) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
     }
@@ -60,18 +62,18 @@
   EXPECT_GT(malformed, 100);
 }
 
-// Calls, exchanges, classes and customers that do not exist, figures that are no numbers, events out of
+// Calls, exchanges, classes and customers that do not exist, figures that are not finite numbers, and events out of
 // order.
-TEST(Fuzz, HostileEventsDoNoHarm) {
-  for (const Topology shape : {Topology::kMeshed, Topology::kGroups}) {
+TEST(Fuzz, AnswersCallsAtMostOnceOnInvalidEvents) {
+  for (const Topology topology : {Topology::kMeshed, Topology::kGroups}) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-      Settings s = PlainSettings();
-      s.topology = shape;
+      Settings s = TestSettings();
+      s.topology = topology;
       s.discovery_mode = seed % 2 == 0 ? DiscoveryMode::kSubscribe : DiscoveryMode::kAutomatic;
       if (seed % 3 == 0) s.report_fields.clear();
       if (seed % 4 == 0) s.classes.clear();
       if (seed % 5 == 0) s.softswitch_count = 0;
-      Bench b(s, seed);
+      ControllerFixture fixture(s, seed);
       std::mt19937_64 random(seed);
       const float figures[] = {
           0.0F, 3.0F, -1.0F, 1e30F, std::numeric_limits<float>::quiet_NaN(), std::numeric_limits<float>::infinity()};
@@ -80,42 +82,43 @@
       std::set<CallId> offered;
       std::set<CallId> ended;
       for (int step = 0; step < 6000; ++step) {
-        b.actions.clear();
-        if (random() % 3 == 0) b.now += random() % (700 * kMs);
+        fixture.actions.clear();
+        if (random() % 3 == 0) fixture.now += random() % (700 * kMs);
         const auto call = static_cast<CallId>(random() % 3000);
         const auto attempt = static_cast<int>(random() % 3) - 1;
         switch (random() % 7) {
           case 0:
           case 1:
-            if (!offered.insert(call).second) break;  // no id is ever repeated
-            b.Do(CallOffered{.call = call,
-                             .call_class = static_cast<int>(random() % 5) - 1,
-                             .customer = static_cast<int>(random() % 5) - 1,
-                             .number_called = random() % 40,
-                             .budget_us = random() % (9000 * kMs),
-                             .destination = static_cast<int>(random() % 8) - 2,
-                             .width = figure(),
-                             .via = static_cast<int>(random() % 6) - 1,
-                             .in_transit = random() % 4 == 0});
+            if (!offered.insert(call).second) break;  // ids are never reused
+            fixture.Handle(CallOffered{.call = call,
+                                       .call_class = static_cast<int>(random() % 5) - 1,
+                                       .customer = static_cast<int>(random() % 5) - 1,
+                                       .number_called = random() % 40,
+                                       .budget_us = random() % (9000 * kMs),
+                                       .destination = static_cast<int>(random() % 8) - 2,
+                                       .width = figure(),
+                                       .via = static_cast<int>(random() % 6) - 1,
+                                       .in_transit = random() % 4 == 0});
             break;
           case 2:
-            b.Do(CallEstablished{.call = call, .exchange = exchange(), .attempt = attempt, .elapsed_us = random()});
+            fixture.Handle(
+                CallEstablished{.call = call, .exchange = exchange(), .attempt = attempt, .elapsed_us = random()});
             break;
           case 3:
-            b.Do(AttemptEnded{.call = call,
-                              .exchange = exchange(),
-                              .attempt = attempt,
-                              .outcome = static_cast<Outcome>(random() % 8),
-                              .cause = static_cast<RejectCause>(random() % 6),
-                              .elapsed_us = random() % (5000 * kMs),
-                              .terminal = random() % 2 == 0,
-                              .report = {figure(), figure(), figure(), figure()}});
+            fixture.Handle(AttemptEnded{.call = call,
+                                        .exchange = exchange(),
+                                        .attempt = attempt,
+                                        .outcome = static_cast<Outcome>(random() % 8),
+                                        .cause = static_cast<RejectCause>(random() % 6),
+                                        .elapsed_us = random() % (5000 * kMs),
+                                        .terminal = random() % 2 == 0,
+                                        .report = {figure(), figure(), figure(), figure()}});
             break;
           case 4:
-            b.Do(LoadReportReceived{.exchange = exchange(), .report = {figure(), figure(), figure()}});
+            fixture.Handle(LoadReportReceived{.exchange = exchange(), .report = {figure(), figure(), figure()}});
             break;
           case 5:
-            b.Do(TimerExpired{random() % 2 == 0 ? random() : call});
+            fixture.Handle(TimerExpired{random() % 2 == 0 ? random() : call});
             break;
           default: {
             DirectoryUpdate update{.kind = static_cast<DirectoryKind>(random() % 4)};
@@ -124,17 +127,17 @@
                                         .zone = static_cast<int>(random() % 3),
                                         .number = static_cast<int>(random() % 6),
                                         .status = static_cast<ExchangeStatus>(random() % 3),
-                                        .since_us = random() % 3 == 0 ? random() : b.now});
+                                        .since_us = random() % 3 == 0 ? random() : fixture.now});
             }
-            b.Do(update);
+            fixture.Handle(update);
           }
         }
-        for (const Action& action : b.actions) {
+        for (const Action& action : fixture.actions) {
           const auto* refuse = std::get_if<RefuseCall>(&action);
           const auto* fail = std::get_if<FailCall>(&action);
           if (refuse == nullptr && fail == nullptr) continue;
           const CallId id = refuse != nullptr ? refuse->call : fail->call;
-          EXPECT_TRUE(offered.count(id) > 0) << "answered a call never offered";
+          EXPECT_TRUE(offered.count(id) > 0) << "answered a call that was not offered";
           EXPECT_TRUE(ended.insert(id).second) << "answered twice";
         }
       }
