--- a/include/croftrun/call_controller.h
+++ b/include/croftrun/call_controller.h
@@ -112,6 +112,7 @@
   bool reports_wait_time = false;    // AttemptEnded::wait_us is set
 };
 
+// State of an exchange in the directory. New set-ups are sent to ready exchanges only.
 enum class ExchangeStatus : std::uint8_t { kGone = 0, kReady = 1, kDraining = 2 };
 
 // One exchange in the directory.
@@ -133,7 +134,8 @@
   kFailed   // the subscription or request failed; no entries
 };
 
-// A notification of the discovery service.
+// A notification of the discovery service. The controller does not check the version; the embedder has to report
+// notifications in their order.
 struct DirectoryUpdate {
   DirectoryKind kind = DirectoryKind::kFull;
   std::uint32_t version = 0;
@@ -151,9 +153,9 @@
   int destination = -1;             // number of the destination exchange, or of the preferred pool
   double width = 1.0;               // circuits that it takes on each trunk group; 0 or less: 1
   int via = -1;                     // in transit: number of the sending exchange; else of the advised tandem; -1: none
-  bool is_redial = false;
-  bool in_transit = false;      // this exchange is the tandem: the call is sent to its destination or refused
-  bool previously_cut = false;  // it was established before, was disconnected by a failure, and is offered again
+  bool is_redial = false;           // marked as a redial, see Settings::marks_redials
+  bool in_transit = false;          // this exchange is the tandem: the call is sent to its destination or refused
+  bool previously_cut = false;      // it was established before, was disconnected by a failure, and is offered again
 };
 
 // Result of an attempt. After kRejected, kConnectFailed and kNotSent it is certain that the exchange did not execute
