--- a/fuzz/mgcp_fuzz.cpp
+++ b/fuzz/mgcp_fuzz.cpp
@@ -1,5 +1,5 @@
-// libFuzzer: whatever octets come, the MGCP parser ends, stays in bounds, and what it read as a message is written
-// and read back the same.
+// libFuzzer target for the MGCP parser: any input is parsed without a fault, and a parsed message that is written is
+// parsed again with the same content.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -21,7 +21,7 @@
       }
       if (const auto map = DigitMap::Parse(parameter.value)) map->Check("5551234", true);
     }
-    // A lone dot would end the message when read again: only the session may hold one.
+    // A line with a single dot in the session description would end the message when it is parsed again.
     if (message.session.find("\n.") != std::string_view::npos || message.session.substr(0, 1) == ".") continue;
     std::string written;
     Write(message, &written);
--- a/src/mgcp/message.cpp
+++ b/src/mgcp/message.cpp
@@ -15,7 +15,7 @@
 bool IsAlpha(char c) { return Lower(c) >= 'a' && Lower(c) <= 'z'; }
 bool IsBlank(char c) { return c == ' ' || c == '\t'; }
 
-// Takes one line off `rest`; both CR LF and bare LF end a line (RFC 3435 appendix A: EOL).
+// Removes the first line from `rest` and returns it without its line end, CR LF or LF (RFC 3435 appendix A, EOL).
 std::string_view TakeLine(std::string_view* rest) {
   const auto end = rest->find('\n');
   std::string_view line = rest->substr(0, end);
@@ -24,6 +24,7 @@
   return line;
 }
 
+// Removes the first word, together with the blanks before it, from `rest` and returns it.
 std::string_view TakeWord(std::string_view* rest) {
   while (!rest->empty() && IsBlank(rest->front())) rest->remove_prefix(1);
   std::size_t size = 0;
@@ -33,7 +34,7 @@
   return word;
 }
 
-std::optional<std::uint32_t> ParseTransaction(std::string_view text) {
+std::optional<std::uint32_t> ParseTransactionId(std::string_view text) {
   std::uint32_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || text.size() > 9 || error != std::errc() || end != text.data() + text.size() || value == 0)
@@ -54,10 +55,12 @@
     std::string_view rest = text;
     const std::string_view first = TakeLine(&rest);
     Message message;
-    message.parameters.reserve(8);  // more are rare; growing step by step cost more than all else here
+    // Few messages have more parameters. Without the reservation, growing the vector took more time than all other
+    // parsing.
+    message.parameters.reserve(8);
     std::optional<ParseError> error =
-        !first.empty() && IsDigit(first.front()) ? Response(first, &message) : Command(first, &message);
-    if (!error) error = Parameters(rest, &message);
+        !first.empty() && IsDigit(first.front()) ? ParseResponse(first, &message) : ParseCommand(first, &message);
+    if (!error) error = ParseParameters(rest, &message);
     if (error) {
       if (!error->transaction && message.transaction != 0) error->transaction = message.transaction;
       error->was_command = message.is_command;
@@ -77,7 +80,7 @@
   }
 
   // `VERB transaction endpoint MGCP 1.0 [profile]`
-  std::optional<ParseError> Command(std::string_view line, Message* message) const {
+  std::optional<ParseError> ParseCommand(std::string_view line, Message* message) const {
     message->is_command = true;
     std::string_view rest = line;
     const auto verb = TakeWord(&rest);
@@ -88,7 +91,7 @@
       if (EqualsIgnoringCase(verb, kVerbs[i])) message->verb = static_cast<Verb>(i);
     }
     const auto transaction = TakeWord(&rest);
-    const auto number = ParseTransaction(transaction);
+    const auto number = ParseTransactionId(transaction);
     if (!number) return Error(transaction, "a transaction id from 1 to 999999999", transaction);
     message->transaction = *number;
     const auto endpoint = TakeWord(&rest);
@@ -103,7 +106,7 @@
   }
 
   // `code transaction [/package] [comment]`
-  std::optional<ParseError> Response(std::string_view line, Message* message) const {
+  std::optional<ParseError> ParseResponse(std::string_view line, Message* message) const {
     message->is_command = false;
     std::string_view rest = line;
     const auto code = TakeWord(&rest);
@@ -111,15 +114,15 @@
       return Error(code, "a return code of three digits", code);
     message->code = (code[0] - '0') * 100 + (code[1] - '0') * 10 + (code[2] - '0');
     const auto transaction = TakeWord(&rest);
-    const auto number = ParseTransaction(transaction);
+    const auto number = ParseTransactionId(transaction);
     if (!number) return Error(transaction, "a transaction id from 1 to 999999999", transaction);
     message->transaction = *number;
     message->comment = Trim(rest);
     return std::nullopt;
   }
 
-  // `Name: value` lines up to an empty line, after which session descriptions follow.
-  std::optional<ParseError> Parameters(std::string_view rest, Message* message) const {
+  // `Name: value` lines up to the end or an empty line, after which session descriptions follow.
+  std::optional<ParseError> ParseParameters(std::string_view rest, Message* message) const {
     while (!rest.empty()) {
       const auto line = TakeLine(&rest);
       if (line.empty()) {
@@ -132,8 +135,8 @@
       const auto legal = [](char c) { return IsAlpha(c) || IsDigit(c) || c == '-' || c == '+' || c == '/'; };
       if (name.empty() || !std::all_of(name.begin(), name.end(), legal))
         return Error(line, "a parameter name of letters, digits, '-', '+', '/'", name);
-      if (message->parameters.size() == kMostParameters)
-        return Error(line, "at most " + std::to_string(kMostParameters) + " parameters", line);
+      if (message->parameters.size() == kMaxParameters)
+        return Error(line, "at most " + std::to_string(kMaxParameters) + " parameters", line);
       message->parameters.push_back({name, Trim(line.substr(colon + 1))});
     }
     return std::nullopt;
@@ -141,6 +144,7 @@
 };
 
 constexpr int kTimerBit = 12;
+// The bit number of a digit map symbol in DigitMap::Position::digits; -1 if the symbol is not supported.
 int SymbolBit(char c) {
   if (IsDigit(c)) return c - '0';
   switch (Lower(c)) {
@@ -152,7 +156,7 @@
     case 'b':
     case 'c':
     case 'd':
-      return -1;  // the fourth DTMF column is not on any telephone here
+      return -1;  // the DTMF symbols A to D are not supported, as no telephone here has them
     case 't':
       return kTimerBit;
     default:
@@ -196,7 +200,7 @@
     const auto p = pattern.find('/');
     const auto n = name.find('/');
     const auto term = pattern.substr(0, p);
-    // A wildcard in last place stands for all the terms below it (RFC 3435 2.1.2).
+    // A wildcard as the last term matches all terms below it (RFC 3435 2.1.2).
     if (term == "*" || term == "$") {
       if (p == std::string_view::npos) return true;
     } else if (!EqualsIgnoringCase(term, name.substr(0, n))) {
@@ -228,14 +232,14 @@
   std::vector<ParsedMessage> messages;
   const Parser parser{datagram};
   std::string_view rest = datagram;
-  while (!rest.empty() && messages.size() < kMostMessages) {
-    // One message runs up to a line that holds a single dot.
+  while (!rest.empty() && messages.size() < kMaxMessages) {
+    // A message ends at a line with a single dot or at the end of the datagram.
     std::string_view scan = rest;
     std::size_t size = rest.size();
     while (!scan.empty()) {
-      const std::size_t line_at = rest.size() - scan.size();
+      const std::size_t line_start = rest.size() - scan.size();
       if (TakeLine(&scan) == ".") {
-        size = line_at;
+        size = line_start;
         break;
       }
     }
@@ -251,11 +255,11 @@
   std::size_t depth = 0, start = 0;
   for (std::size_t i = 0; i <= list.size(); ++i) {
     if (i == list.size() || (list[i] == ',' && depth == 0)) {
-      if (items.size() == kMostEvents) return std::nullopt;
+      if (items.size() == kMaxEvents) return std::nullopt;
       items.push_back(Trim(list.substr(start, i - start)));
       start = i + 1;
     } else if (list[i] == '(') {
-      if (++depth > kDeepestNesting) return std::nullopt;
+      if (++depth > kMaxNesting) return std::nullopt;
     } else if (list[i] == ')') {
       if (depth-- == 0) return std::nullopt;
     }
@@ -307,11 +311,11 @@
   text = Trim(text);
   if (text.size() >= 2 && text.front() == '(' && text.back() == ')') text = text.substr(1, text.size() - 2);
   DigitMap map;
-  Alternative present;
+  Alternative current;
   const auto finish = [&] {
-    if (present.empty() || map.alternatives_.size() == kMostAlternatives) return false;
-    map.alternatives_.push_back(std::move(present));
-    present = {};
+    if (current.empty() || map.alternatives_.size() == kMaxAlternatives) return false;
+    map.alternatives_.push_back(std::move(current));
+    current = {};
     return true;
   };
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -322,8 +326,8 @@
       continue;
     }
     if (c == '.') {
-      if (present.empty()) return std::nullopt;
-      present.back().repeated = true;
+      if (current.empty()) return std::nullopt;
+      current.back().repeated = true;
       continue;
     }
     if (Lower(c) == 'x') {
@@ -348,8 +352,8 @@
     } else {
       return std::nullopt;
     }
-    if (present.size() == kMostPositions) return std::nullopt;
-    present.push_back(position);
+    if (current.size() == kMaxPositions) return std::nullopt;
+    current.push_back(position);
   }
   if (!finish()) return std::nullopt;
   return map;
@@ -358,31 +362,32 @@
 DigitMap::Match DigitMap::Check(std::string_view digits, bool timed_out) const {
   bool partial = false, complete = false;
   for (const Alternative& alternative : alternatives_) {
-    // The positions at which the alternative may stand, as a bit set: no backtracking.
-    const auto skip_repeats = [&](std::uint64_t at) {
+    // Simulates a nondeterministic automaton instead of backtracking: bit i is set if the next symbol may match
+    // position i.
+    const auto skip_repeats = [&](std::uint64_t states) {
       for (std::size_t i = 0; i < alternative.size(); ++i) {
-        if ((at >> i & 1U) != 0 && alternative[i].repeated) at |= std::uint64_t{1} << (i + 1);
+        if ((states >> i & 1U) != 0 && alternative[i].repeated) states |= std::uint64_t{1} << (i + 1);
       }
-      return at;
+      return states;
     };
-    std::uint64_t at = skip_repeats(1);
+    std::uint64_t states = skip_repeats(1);
     std::uint64_t before_timer = 0;
     const std::size_t symbols = digits.size() + (timed_out ? 1 : 0);
-    for (std::size_t s = 0; s < symbols && at != 0; ++s) {
+    for (std::size_t s = 0; s < symbols && states != 0; ++s) {
       const int bit = s < digits.size() ? SymbolBit(digits[s]) : kTimerBit;
-      if (bit == kTimerBit) before_timer = at;
+      if (bit == kTimerBit) before_timer = states;
       std::uint64_t next = 0;
       for (std::size_t i = 0; bit >= 0 && i < alternative.size(); ++i) {
-        if ((at >> i & 1U) == 0 || (alternative[i].digits >> bit & 1) == 0) continue;
+        if ((states >> i & 1U) == 0 || (alternative[i].digits >> bit & 1) == 0) continue;
         next |= std::uint64_t{1} << (alternative[i].repeated ? i : i + 1);
       }
-      at = skip_repeats(next);
+      states = skip_repeats(next);
     }
-    // An alternative that was whole before the timer ran out stays so.
-    at |= before_timer;
+    // An alternative that had matched before the timer expired still matches.
+    states |= before_timer;
     const std::uint64_t end = std::uint64_t{1} << alternative.size();
-    if ((at & end) != 0) complete = true;
-    if ((at & ~end) != 0) partial = true;
+    if ((states & end) != 0) complete = true;
+    if ((states & ~end) != 0) partial = true;
   }
   if (complete && (!partial || timed_out)) return Match::kComplete;
   return partial ? Match::kPartial : complete ? Match::kComplete : Match::kNo;
@@ -417,7 +422,7 @@
   return *this;
 }
 
-Writer& Writer::Dot() {
+Writer& Writer::Separator() {
   out_->append(".\r\n");
   return *this;
 }
--- a/src/mgcp/peers.h
+++ b/src/mgcp/peers.h
@@ -1,9 +1,9 @@
-// Who may cost this agent anything that lasts: decisions only, no I/O, no clock.
+// Limits on what a peer may cost this call agent. Decisions only: no I/O and no clock.
 //
-// PeerGuard tells gateways from strangers and says when a stranger is answered at all. HistoryRoom shares out
-// the table of remembered answers: by gateway, so that one that floods takes no other's room, and with a part
-// kept for endpoints in use, so that a flood in a gateway's name (the source of a datagram is easily forged)
-// leaves calls in progress theirs.
+// PeerFilter tells configured gateways from unknown hosts and limits the rate of responses to unknown hosts.
+// HistoryRoom divides the capacity of the response history among the gateways, so that a gateway that floods uses
+// no capacity of another one. A part of each share is reserved for endpoints with a call in progress, so that a
+// flood with a gateway's forged source address leaves capacity for those calls.
 #ifndef CROFTRUN_MGCP_PEERS_H_
 #define CROFTRUN_MGCP_PEERS_H_
 
@@ -17,31 +17,34 @@
 
 namespace croftrun::mgcp {
 
+// Datagrams from unknown hosts.
 struct StrangerCounters {
-  std::uint64_t commands = 0, responses = 0, malformed = 0;  // datagrams, by how they begin
-  std::uint64_t answered = 0;
+  std::uint64_t commands = 0, responses = 0, malformed = 0;  // classified by their first octet only
+  std::uint64_t answered = 0;                                // commands that received an error response
 };
 
-class PeerGuard {
+// Distinguishes configured hosts from unknown ones.
+class PeerFilter {
  public:
-  // Answers a second to all strangers together: enough that a gateway set up wrongly is told so, and no more
-  // than a trickle towards whoever a forged source names.
+  // Limits for error responses to all unknown hosts together. They are enough for a misconfigured gateway to receive
+  // an error, but too few to harm a host whose address was forged as the source.
   static constexpr double kAnswersPerSecond = 10.0;
-  static constexpr double kAnswersAtOnce = 20.0;
+  static constexpr double kAnswerBurst = 20.0;
 
-  // With none named, everybody is known.
-  void SetKnown(std::vector<std::uint32_t> hosts) {
+  // If `hosts` is empty, every host is known.
+  void SetKnownHosts(std::vector<std::uint32_t> hosts) {
     hosts_ = std::move(hosts);
     std::sort(hosts_.begin(), hosts_.end());
   }
-  bool Knows(const core::Address& from) const {
+  bool IsKnown(const core::Address& from) const {
     return hosts_.empty() || std::binary_search(hosts_.begin(), hosts_.end(), from.host);
   }
-  std::size_t hosts() const { return std::max<std::size_t>(1, hosts_.size()); }
-  // Whether this stranger's command is answered (with an error); counts it.
-  bool MayAnswer(TimeUs now) {
-    tokens_ = std::min(kAnswersAtOnce, tokens_ + static_cast<double>(now - filled_) * kAnswersPerSecond / 1e6);
-    filled_ = now;
+  // The number of known hosts, at least 1.
+  std::size_t host_count() const { return std::max<std::size_t>(1, hosts_.size()); }
+  // Takes a token for an error response to an unknown host. Returns false if the rate limit is reached.
+  bool TryConsumeAnswer(TimeUs now) {
+    tokens_ = std::min(kAnswerBurst, tokens_ + static_cast<double>(now - last_refill_) * kAnswersPerSecond / 1e6);
+    last_refill_ = now;
     if (tokens_ < 1.0) return false;
     tokens_ -= 1.0;
     return true;
@@ -49,51 +52,55 @@
 
  private:
   std::vector<std::uint32_t> hosts_;
-  double tokens_ = kAnswersAtOnce;
-  TimeUs filled_ = 0;
+  double tokens_ = kAnswerBurst;
+  TimeUs last_refill_ = 0;
 };
 
+// Divides the capacity of the response history equally among hosts. A quarter of each host's share is reserved for
+// endpoints with a call in progress.
 class HistoryRoom {
  public:
-  // What an answer takes of the room; given back as it was taken.
+  // The capacity used by one response. Pass it to GiveBack to release it.
   struct Place {
     std::uint32_t host = 0;
-    std::uint64_t endpoint = 0;  // 0: not of the part kept for endpoints in use
+    std::uint64_t endpoint = 0;  // 0: not taken from the reserved part
   };
-  // Of that part, at most so many answers for one endpoint: a call's events are a handful, a flood's are not.
+  // Limit of responses for one endpoint in the reserved part. The events of a call need only a few.
   static constexpr std::size_t kMostForEndpoint = 16;
 
-  HistoryRoom(std::size_t room, std::size_t hosts) : by_host_(room / hosts), open_(by_host_ - by_host_ / 4) {}
+  HistoryRoom(std::size_t capacity, std::size_t hosts)
+      : capacity_per_host_(capacity / hosts), unreserved_per_host_(capacity_per_host_ - capacity_per_host_ / 4) {}
 
-  // Room for an answer to `host`. `endpoint`: a hash that is not 0 where a call is in progress there. False:
-  // none.
+  // Reserves capacity for a response to `host`. `endpoint` is a hash of the endpoint if a call is in progress there,
+  // otherwise 0. Returns false if no capacity is left.
   bool Take(std::uint32_t host, std::uint64_t endpoint, Place* place) {
-    std::size_t& taken = taken_[host];
-    if (taken < open_) {
-      ++taken;
+    std::size_t& used_by_host = used_by_host_[host];
+    if (used_by_host < unreserved_per_host_) {
+      ++used_by_host;
       *place = {host, 0};
       return true;
     }
-    if (taken >= by_host_ || endpoint == 0) return false;
-    std::size_t& of_endpoint = of_endpoint_[endpoint];
-    if (of_endpoint >= kMostForEndpoint) return false;
-    ++of_endpoint;
-    ++taken;
+    if (used_by_host >= capacity_per_host_ || endpoint == 0) return false;
+    std::size_t& used_by_endpoint = used_by_endpoint_[endpoint];
+    if (used_by_endpoint >= kMostForEndpoint) return false;
+    ++used_by_endpoint;
+    ++used_by_host;
     *place = {host, endpoint};
     return true;
   }
+  // Releases capacity reserved by Take.
   void GiveBack(const Place& place) {
-    const auto host = taken_.find(place.host);
-    if (host != taken_.end() && --host->second == 0) taken_.erase(host);
+    const auto host = used_by_host_.find(place.host);
+    if (host != used_by_host_.end() && --host->second == 0) used_by_host_.erase(host);
     if (place.endpoint == 0) return;
-    const auto endpoint = of_endpoint_.find(place.endpoint);
-    if (endpoint != of_endpoint_.end() && --endpoint->second == 0) of_endpoint_.erase(endpoint);
+    const auto endpoint = used_by_endpoint_.find(place.endpoint);
+    if (endpoint != used_by_endpoint_.end() && --endpoint->second == 0) used_by_endpoint_.erase(endpoint);
   }
 
  private:
-  std::size_t by_host_, open_;
-  std::unordered_map<std::uint32_t, std::size_t> taken_;
-  std::unordered_map<std::uint64_t, std::size_t> of_endpoint_;
+  std::size_t capacity_per_host_, unreserved_per_host_;
+  std::unordered_map<std::uint32_t, std::size_t> used_by_host_;
+  std::unordered_map<std::uint64_t, std::size_t> used_by_endpoint_;
 };
 
 }  // namespace croftrun::mgcp
--- a/src/mgcp/transactions.cpp
+++ b/src/mgcp/transactions.cpp
@@ -9,23 +9,24 @@
 namespace croftrun::mgcp {
 namespace {
 
-// Gains of the smoothed round trip and its deviation (RFC 3435 3.5.3 refers to TCP's: 1/8 and 1/4).
+// Gains of the smoothed round trip and its deviation. RFC 3435 3.5.3 refers to those of TCP, 1/8 and 1/4.
 constexpr double kMeanGain = 0.125, kDeviationGain = 0.25;
-// Acknowledgements carried in one command; more wait for the next.
-constexpr std::size_t kMostAcknowledged = 24;
-// A datagram of piggybacked commands is closed at this size, so that it crosses any link whole.
-constexpr std::size_t kPiggybackBytes = 1400;
+// Response acknowledgements in one command; the others are sent with later commands.
+constexpr std::size_t kMaxAcknowledgements = 24;
+// A datagram of piggy-backed messages is not filled beyond this size, so that it passes any link without fragmentation.
+constexpr std::size_t kMaxPiggybackOctets = 1400;
 
 }  // namespace
 
 Transactions::Transactions(core::Runtime* runtime, const Address& local, const TransactionSettings& settings,
-                           OnCommand on_command)
+                           CommandHandler on_command)
     : runtime_(runtime),
       settings_(settings),
       on_command_(std::move(on_command)),
-      // A restarted agent must not reuse the ids of its former life within T-HIST (RFC 3435 3.2.1.2).
-      next_transaction_(static_cast<std::uint32_t>(runtime->Random() % kLargestTransaction) + 1),
-      room_(settings.most_history, 1),
+      // A restarted call agent must not reuse its earlier transaction identifiers within T-HIST (RFC 3435 3.2.1.2), so
+      // the first one is random.
+      next_transaction_(static_cast<std::uint32_t>(runtime->Random() % kMaxTransactionId) + 1),
+      history_quota_(settings.most_history, 1),
       port_(runtime->OpenPort(local, this)) {}
 
 Transactions::~Transactions() {
@@ -33,42 +34,43 @@
 }
 
 void Transactions::SetKnownHosts(std::vector<std::uint32_t> hosts, std::function<bool(const Message&)> in_use) {
-  guard_.SetKnown(std::move(hosts));
-  room_ = HistoryRoom(settings_.most_history, guard_.hosts());
+  peer_filter_.SetKnownHosts(std::move(hosts));
+  history_quota_ = HistoryRoom(settings_.most_history, peer_filter_.host_count());
   in_use_ = std::move(in_use);
 }
 
-// Strangers end here: no history, no estimate of a round trip, no place in a queue behind which a gateway would wait.
+// Called before a datagram is queued. Datagrams from unknown hosts are dropped here, so that they use no history, no
+// round-trip estimate and no place in a queue that would delay a gateway's datagrams.
 bool Transactions::Wants(const Address& from, std::string_view bytes) {
-  if (guard_.Knows(from)) return true;
+  if (peer_filter_.IsKnown(from)) return true;
   const char first = bytes.empty() ? '\0' : bytes.front();
   if (first >= '0' && first <= '9') {
-    ++strangers_.responses;
+    ++unknown_hosts_.responses;
     return false;
   }
   if (!((first >= 'A' && first <= 'Z') || (first >= 'a' && first <= 'z'))) {
-    ++strangers_.malformed;
+    ++unknown_hosts_.malformed;
     return false;
   }
-  ++strangers_.commands;
-  if (!guard_.MayAnswer(runtime_->Now())) return false;
+  ++unknown_hosts_.commands;
+  if (!peer_filter_.TryConsumeAnswer(runtime_->Now())) return false;
   for (const ParsedMessage& parsed : ParseDatagram(bytes)) {
     const auto* message = std::get_if<Message>(&parsed);
     if (message == nullptr || !message->is_command) break;
-    ++strangers_.answered;
+    ++unknown_hosts_.answered;
     std::string text;
     Writer(&text).Response(kUnknownEndpoint, message->transaction, "not a gateway of this call agent");
-    Out(from, text);
-    break;  // one answer a datagram, whatever it holds
+    SendOrCollect(from, text);
+    break;  // at most one response per datagram
   }
   return false;
 }
 
-Transactions::Peer& Transactions::PeerAt(const Address& address) {
+Transactions::Peer& Transactions::FindOrAddPeer(const Address& address) {
   const auto found = peers_.find(address);
   if (found != peers_.end()) return found->second;
-  // Estimates are only a help: beyond the bound all are learnt anew.
-  if (peers_.size() >= settings_.most_peers) peers_.clear();
+  // Losing an estimate only costs accuracy, so all are dropped when the limit is reached.
+  if (peers_.size() >= settings_.max_peers) peers_.clear();
   return peers_[address];
 }
 
@@ -76,15 +78,15 @@
   const auto found = peers_.find(to);
   if (found == peers_.end() || found->second.mean_us <= 0.0) return settings_.first_timeout_us;
   const double timeout = found->second.mean_us + 4.0 * found->second.deviation_us;
-  return std::clamp(static_cast<TimeUs>(timeout), settings_.least_timeout_us, settings_.longest_timeout_us);
+  return std::clamp(static_cast<TimeUs>(timeout), settings_.min_timeout_us, settings_.longest_timeout_us);
 }
 
-void Transactions::Out(const Address& to, std::string_view text) {
+void Transactions::SendOrCollect(const Address& to, std::string_view text) {
   if (corks_ == 0) return port_->Send(to, text);
-  for (auto& [peer, datagram] : gathered_) {
+  for (auto& [peer, datagram] : collected_) {
     if (peer != to) continue;
-    if (datagram.size() + text.size() <= kPiggybackBytes) {
-      Writer(&datagram).Dot();
+    if (datagram.size() + text.size() <= kMaxPiggybackOctets) {
+      Writer(&datagram).Separator();
       datagram += text;
     } else {
       port_->Send(to, datagram);
@@ -92,37 +94,37 @@
     }
     return;
   }
-  gathered_.emplace_back(to, text);
+  collected_.emplace_back(to, text);
 }
 
 void Transactions::Flush() {
-  for (const auto& [peer, datagram] : gathered_) port_->Send(peer, datagram);
-  gathered_.clear();
+  for (const auto& [peer, datagram] : collected_) port_->Send(peer, datagram);
+  collected_.clear();
 }
 
-std::uint32_t Transactions::Send(const Address& to, Outgoing command) {
+std::uint32_t Transactions::Send(const Address& to, OutgoingCommand command) {
   if (pending_.size() >= settings_.most_pending) {
     ++counters_.refused_full;
-    if (command.on_answer) command.on_answer({Ending::kTooMany, nullptr, to});
+    if (command.on_result) command.on_result({Ending::kTooManyPending, nullptr, to});
     return 0;
   }
   do {
-    next_transaction_ = next_transaction_ % kLargestTransaction + 1;
+    next_transaction_ = next_transaction_ % kMaxTransactionId + 1;
   } while (pending_.count(next_transaction_) > 0);
   const std::uint32_t transaction = next_transaction_;
 
   Pending pending;
   pending.to = to;
-  pending.on_answer = std::move(command.on_answer);
+  pending.on_result = std::move(command.on_result);
   pending.first_sent = runtime_->Now();
   pending.timeout = TimeoutFor(to);
   pending.text.reserve(command.body.size() + command.endpoint.size() + 160);
   Writer writer(&pending.text);
   writer.Command(command.verb, transaction, command.endpoint);
-  // What the peer has answered may be forgotten there (RFC 3435 3.2.2.16).
-  auto& acknowledge = PeerAt(to).to_acknowledge;
+  // The peer may drop responses that are acknowledged here (RFC 3435 3.2.2.16).
+  auto& acknowledge = FindOrAddPeer(to).to_acknowledge;
   if (!acknowledge.empty()) {
-    const std::size_t count = std::min(acknowledge.size(), kMostAcknowledged);
+    const std::size_t count = std::min(acknowledge.size(), kMaxAcknowledgements);
     std::string list;
     for (std::size_t i = 0; i < count; ++i) {
       if (!list.empty()) list += ',';
@@ -133,84 +135,87 @@
   }
   pending.text += command.body;
   ++counters_.sent;
-  Arm(transaction, pending);
-  Out(to, pending.text);
+  StartRetransmissionTimer(transaction, pending);
+  SendOrCollect(to, pending.text);
   pending_.emplace(transaction, std::move(pending));
   return transaction;
 }
 
 void Transactions::StopRepeating(std::uint32_t transaction) {
   const auto found = pending_.find(transaction);
-  if (found != pending_.end()) found->second.quiet = true;
+  if (found != pending_.end()) found->second.retransmission_stopped = true;
 }
 
-void Transactions::Arm(std::uint32_t transaction, Pending& pending) {
-  // A tenth of chance keeps many senders from repeating in step.
-  const double spread = 1.0 + 0.1 * static_cast<double>(runtime_->Random() % 1000) / 1000.0;
-  // The answer may be in the own queue already; what that takes is no loss on the way. Without this an agent that has
-  // fallen behind repeats its commands, has each answered again, and falls further behind.
-  pending.allowed = runtime_->Backlog();
-  const auto wait = static_cast<TimeUs>(static_cast<double>(pending.timeout) * spread) + pending.allowed;
-  pending.timer = runtime_->StartTimer(wait, [this, transaction] { Repeat(transaction); });
+void Transactions::StartRetransmissionTimer(std::uint32_t transaction, Pending& pending) {
+  // Up to 10% of random jitter keeps many senders from retransmitting at the same time.
+  const double jitter = 1.0 + 0.1 * static_cast<double>(runtime_->Random() % 1000) / 1000.0;
+  // The response may already be in the local event queue, so the time-out is extended by the delay of that queue.
+  // Otherwise an overloaded call agent retransmits its commands, receives each response again and becomes more
+  // overloaded.
+  pending.queue_allowance = runtime_->Backlog();
+  const auto wait = static_cast<TimeUs>(static_cast<double>(pending.timeout) * jitter) + pending.queue_allowance;
+  pending.timer = runtime_->StartTimer(wait, [this, transaction] { OnRetransmissionTimer(transaction); });
 }
 
-void Transactions::Repeat(std::uint32_t transaction) {
+void Transactions::OnRetransmissionTimer(std::uint32_t transaction) {
   const auto found = pending_.find(transaction);
   if (found == pending_.end()) return;
   Pending& pending = found->second;
   pending.timer = core::kNoTimer;
   if (runtime_->Now() - pending.first_sent >= settings_.give_up_us) {
     ++counters_.given_up;
-    return Finish(transaction, Ending::kNoAnswer, nullptr);
+    return CompleteTransaction(transaction, Ending::kNoAnswer, nullptr);
   }
-  if (runtime_->Backlog() > pending.allowed + pending.timeout / 2) {  // the queue grew since
+  // The queue has grown since the timer was started.
+  if (runtime_->Backlog() > pending.queue_allowance + pending.timeout / 2) {
     ++counters_.postponed;
-    return Arm(transaction, pending);
+    return StartRetransmissionTimer(transaction, pending);
   }
   pending.timeout = std::min(pending.timeout * 2, settings_.longest_timeout_us);
-  if (!pending.quiet) {
-    pending.repeated = true;
+  if (!pending.retransmission_stopped) {
+    pending.retransmitted = true;
     ++counters_.repeated;
-    Out(pending.to, pending.text);
+    SendOrCollect(pending.to, pending.text);
   }
-  Arm(transaction, pending);
+  StartRetransmissionTimer(transaction, pending);
 }
 
-void Transactions::Finish(std::uint32_t transaction, Ending ending, const Message* message) {
+void Transactions::CompleteTransaction(std::uint32_t transaction, Ending ending, const Message* message) {
   const auto found = pending_.find(transaction);
   if (found == pending_.end()) return;
   runtime_->CancelTimer(found->second.timer);
-  const OnAnswer on_answer = std::move(found->second.on_answer);
+  const OnAnswer on_result = std::move(found->second.on_result);
   const Address peer = found->second.to;
-  pending_.erase(found);  // before the callback: it may send, and may be the last use of this transaction
-  if (on_answer) on_answer({ending, message, peer});
+  pending_.erase(found);  // before the callback, which may send commands and may be the last use of this transaction
+  if (on_result) on_result({ending, message, peer});
 }
 
 void Transactions::OnDatagram(const Address& from, std::string_view bytes) {
   const Cork cork(this);
   for (const ParsedMessage& parsed : ParseDatagram(bytes)) {
     if (const auto* error = std::get_if<ParseError>(&parsed)) {
-      OnMalformed(from, *error);
+      HandleMalformed(from, *error);
     } else if (const auto& message = std::get<Message>(parsed); message.is_command) {
-      OnRequest(from, message);
+      HandleCommand(from, message);
     } else {
-      OnResponse(from, message);
+      HandleResponse(from, message);
     }
   }
 }
 
-void Transactions::OnMalformed(const Address& from, const ParseError& error) {
+void Transactions::HandleMalformed(const Address& from, const ParseError& error) {
   ++counters_.malformed;
-  if (!error.was_command || !error.transaction) return;  // nobody to answer; an answer to an answer never ends
+  // Without a transaction identifier no response is possible, and responding to a response could loop forever.
+  if (!error.was_command || !error.transaction) return;
   std::string text;
   Writer(&text).Response(error.code, *error.transaction, error.Text());
-  Out(from, text);
+  SendOrCollect(from, text);
 }
 
-void Transactions::OnResponse(const Address& from, const Message& message) {
-  if (message.code < 100) return;  // 000: an acknowledgement; the answer it names is forgotten by its age
+void Transactions::HandleResponse(const Address& from, const Message& message) {
+  if (message.code < 100) return;  // 000, response acknowledgement: the response expires after T-HIST anyway
   const auto found = pending_.find(message.transaction);
-  // An answer from elsewhere is none: a gateway answers from the address it was asked at.
+  // A gateway responds from the address that the command was sent to; responses from other hosts are ignored.
   if (found == pending_.end() || found->second.to.host != from.host) {
     ++counters_.unknown_responses;
     return;
@@ -220,13 +225,14 @@
     pending.provisional = true;
     pending.timeout = settings_.longest_timeout_us;
     runtime_->CancelTimer(pending.timer);
-    Arm(message.transaction, pending);
+    StartRetransmissionTimer(message.transaction, pending);
     return;
   }
   ++counters_.answered;
-  Peer& peer = PeerAt(pending.to);
-  // Karn: a repeated command's answer does not tell which copy it answers.
-  if (!pending.repeated && !pending.provisional) {
+  Peer& peer = FindOrAddPeer(pending.to);
+  // Karn's algorithm: the response to a retransmitted command gives no round-trip sample, as it is not known which copy
+  // it belongs to.
+  if (!pending.retransmitted && !pending.provisional) {
     const auto sample = static_cast<double>(runtime_->Now() - pending.first_sent);
     if (peer.mean_us <= 0.0) {
       peer.mean_us = std::max(1.0, sample);
@@ -237,93 +243,96 @@
     }
   }
   if (pending.provisional && message.Find("K") != nullptr) {
-    // The peer asks for the third leg of the handshake (RFC 3435 3.5.6).
+    // A K: parameter in a final response after a provisional one requests a response acknowledgement, the third step of
+    // the three-way handshake (RFC 3435 3.5.6).
     std::string text;
-    Writer(&text).Response(kAckOfResponse, message.transaction);
-    Out(from, text);
-  } else if (peer.to_acknowledge.size() < 4 * kMostAcknowledged) {
+    Writer(&text).Response(kResponseAcknowledgement, message.transaction);
+    SendOrCollect(from, text);
+  } else if (peer.to_acknowledge.size() < 4 * kMaxAcknowledgements) {
     peer.to_acknowledge.push_back(message.transaction);
   }
-  Finish(message.transaction, Ending::kAnswered, &message);
+  CompleteTransaction(message.transaction, Ending::kFinalResponse, &message);
 }
 
-void Transactions::OnRequest(const Address& from, const Message& message) {
+void Transactions::HandleCommand(const Address& from, const Message& message) {
   const Key key{from, message.transaction};
-  ForgetOld();
-  if (const Parameter* acknowledged = message.Find("K")) ForgetAcknowledged(from, acknowledged->value);
+  ExpireHistory();
+  if (const Parameter* acknowledged = message.Find("K")) HandleResponseAck(from, acknowledged->value);
   if (const auto found = history_.find(key); found != history_.end()) {
     ++counters_.received_again;
-    if (!found->second.answer.empty()) {
-      Out(from, found->second.answer);
+    if (!found->second.response.empty()) {
+      SendOrCollect(from, found->second.response);
     } else {
       RespondProvisionally(found->second.id);
     }
     return;
   }
-  if (IsConfirmed(from, message.transaction)) {
-    // Confirmed by the sender, so this copy was long on its way: dropped, and above all not carried out again.
+  if (IsAcknowledged(from, message.transaction)) {
+    // The sender has acknowledged the response, so this is a delayed copy of the command. It must not be executed
+    // again.
     ++counters_.received_again;
     return;
   }
-  HistoryRoom::Place place;
+  HistoryRoom::Place reservation;
   const bool in_use = in_use_ && in_use_(message);
-  if (!room_.Take(from.host, in_use ? std::hash<std::string_view>{}(message.endpoint.local) | 1U : 0U, &place)) {
-    // Without a place to remember the answer, the command could be carried out twice: it is not carried out at all.
+  if (!history_quota_.Take(from.host, in_use ? std::hash<std::string_view>{}(message.endpoint.local) | 1U : 0U,
+                           &reservation)) {
+    // If the response cannot be kept, a retransmission would be executed a second time. So the command is rejected.
     ++counters_.refused_full;
     std::string text;
     Writer(&text).Response(kOverload, message.transaction, "too many transactions");
-    Out(from, text);
+    SendOrCollect(from, text);
     return;
   }
   ++counters_.received;
   const CommandId id = next_command_++;
   Received& received = history_[key];
   received.id = id;
-  received.place = place;
-  open_.emplace(id, key);
+  received.reservation = reservation;
+  awaiting_response_.emplace(id, key);
   on_command_(id, from, message);
 }
 
 void Transactions::Respond(CommandId command, int code, std::string_view body, std::string_view comment) {
-  const auto open = open_.find(command);
-  if (open == open_.end()) return;
-  const Key key = open->second;
-  open_.erase(open);
+  const auto found = awaiting_response_.find(command);
+  if (found == awaiting_response_.end()) return;
+  const Key key = found->second;
+  awaiting_response_.erase(found);
   Received& received = history_[key];
-  received.answer.reserve(body.size() + comment.size() + 32);
-  Writer(&received.answer).Response(code, key.second, comment);
-  if (received.provisional) Writer(&received.answer).Line("K", "");
-  received.answer += body;
+  received.response.reserve(body.size() + comment.size() + 32);
+  Writer(&received.response).Response(code, key.second, comment);
+  if (received.provisional) Writer(&received.response).Line("K", "");
+  received.response += body;
   history_order_.push_back({runtime_->Now(), key, command});
-  Out(key.first, received.answer);
+  SendOrCollect(key.first, received.response);
 }
 
 void Transactions::Reject(CommandId command, int code, std::string_view comment) {
-  const auto open = open_.find(command);
-  if (open == open_.end()) return;
-  const Key key = open->second;
-  open_.erase(open);
-  if (const auto received = history_.find(key); received != history_.end()) Forget(received);
+  const auto found = awaiting_response_.find(command);
+  if (found == awaiting_response_.end()) return;
+  const Key key = found->second;
+  awaiting_response_.erase(found);
+  if (const auto received = history_.find(key); received != history_.end()) RemoveFromHistory(received);
   std::string text;
   Writer(&text).Response(code, key.second, comment);
-  Out(key.first, text);
+  SendOrCollect(key.first, text);
 }
 
-void Transactions::Forget(History::iterator received) {
-  room_.GiveBack(received->second.place);
+void Transactions::RemoveFromHistory(History::iterator received) {
+  history_quota_.GiveBack(received->second.reservation);
   history_.erase(received);
 }
 
 void Transactions::RespondProvisionally(CommandId command) {
-  const auto open = open_.find(command);
-  if (open == open_.end()) return;
-  history_[open->second].provisional = true;
+  const auto found = awaiting_response_.find(command);
+  if (found == awaiting_response_.end()) return;
+  history_[found->second].provisional = true;
   std::string text;
-  Writer(&text).Response(kProvisional, open->second.second);
-  Out(open->second.first, text);
+  Writer(&text).Response(kProvisional, found->second.second);
+  SendOrCollect(found->second.first, text);
 }
 
-void Transactions::ForgetAcknowledged(const Address& from, std::string_view ranges) {
+void Transactions::HandleResponseAck(const Address& from, std::string_view ranges) {
   const auto items = SplitTopLevel(ranges);
   if (!items) return;
   for (const std::string_view item : *items) {
@@ -332,19 +341,20 @@
     if (error != std::errc()) continue;
     std::uint32_t last = first;
     if (end != item.data() + item.size() && *end == '-') std::from_chars(end + 1, item.data() + item.size(), last);
-    // A range is walked no further than answers could be remembered.
+    // Follows a range for at most 1,024 identifiers, which bounds the work; a longer run of responses is not expected
+    // to be in the history.
     for (std::uint32_t id = first; id <= last && id - first < 1024; ++id) {
       const auto found = history_.find({from, id});
-      if (found == history_.end() || found->second.answer.empty()) continue;
-      if (confirmed_ranges_ >= settings_.most_history) continue;  // kept whole until its time
-      Forget(found);
-      Confirm(from, id);
+      if (found == history_.end() || found->second.response.empty()) continue;
+      if (acknowledged_range_count_ >= settings_.most_history) continue;  // the response stays until it expires
+      RemoveFromHistory(found);
+      RecordAcknowledged(from, id);
     }
   }
 }
 
-bool Transactions::IsConfirmed(const Address& peer, std::uint32_t id) const {
-  for (const auto* generation : {&confirmed_, &confirmed_before_}) {
+bool Transactions::IsAcknowledged(const Address& peer, std::uint32_t id) const {
+  for (const auto* generation : {&acknowledged_, &previous_acknowledged_}) {
     const auto ranges = generation->find(peer);
     if (ranges == generation->end()) continue;
     const auto after = ranges->second.upper_bound(id);
@@ -353,38 +363,38 @@
   return false;
 }
 
-void Transactions::Confirm(const Address& peer, std::uint32_t id) {
-  Ranges& ranges = confirmed_[peer];
+void Transactions::RecordAcknowledged(const Address& peer, std::uint32_t id) {
+  Ranges& ranges = acknowledged_[peer];
   const auto after = ranges.upper_bound(id);
   const bool joins_next = after != ranges.end() && after->first == id + 1;
   const auto before = after == ranges.begin() ? ranges.end() : std::prev(after);
   if (before != ranges.end() && before->second + 1 == id) {
     before->second = joins_next ? after->second : id;
-    if (joins_next) ranges.erase(after), --confirmed_ranges_;
+    if (joins_next) ranges.erase(after), --acknowledged_range_count_;
     return;
   }
   const std::uint32_t last = joins_next ? after->second : id;
-  if (joins_next) ranges.erase(after), --confirmed_ranges_;
+  if (joins_next) ranges.erase(after), --acknowledged_range_count_;
   ranges[id] = last;
-  ++confirmed_ranges_;
+  ++acknowledged_range_count_;
 }
 
-void Transactions::ForgetOld() {
+void Transactions::ExpireHistory() {
   const TimeUs now = runtime_->Now();
-  if (now - generation_began_ > settings_.history_us) {
-    // After a long silence both generations are over age.
-    const bool both = now - generation_began_ > 2 * settings_.history_us;
-    generation_began_ = now;
-    confirmed_before_ = std::exchange(confirmed_, {});
-    if (both) confirmed_before_.clear();
-    confirmed_ranges_ = 0;
+  if (now - generation_start_ > settings_.history_us) {
+    // After more than twice T-HIST without commands, both generations have expired.
+    const bool both_expired = now - generation_start_ > 2 * settings_.history_us;
+    generation_start_ = now;
+    previous_acknowledged_ = std::exchange(acknowledged_, {});
+    if (both_expired) previous_acknowledged_.clear();
+    acknowledged_range_count_ = 0;
   }
   while (!history_order_.empty()) {
-    const Aged& oldest = history_order_.front();
+    const HistoryEntry& oldest = history_order_.front();
     const auto found = history_.find(oldest.key);
-    const bool there = found != history_.end() && found->second.id == oldest.id;
-    if (there && now - oldest.answered_at <= settings_.history_us) break;
-    if (there) Forget(found);
+    const bool in_history = found != history_.end() && found->second.id == oldest.id;
+    if (in_history && now - oldest.responded_at <= settings_.history_us) break;
+    if (in_history) RemoveFromHistory(found);
     history_order_.pop_front();
   }
 }
--- a/src/mgcp/transactions.h
+++ b/src/mgcp/transactions.h
@@ -1,7 +1,8 @@
-// The transaction layer of MGCP (RFC 3435 3.5): who asked what, what was answered, what is asked again.
+// The transaction layer of MGCP (RFC 3435 3.5).
 //
-// It knows nothing of calls or routes. Commands sent are repeated until answered or given up; commands received are
-// carried out at most once, and a repeat is answered by the same octets. It runs on core::Runtime alone.
+// Commands sent are retransmitted until a response arrives or T-MAX has passed. Commands received are executed at most
+// once; a retransmission receives the same response octets again. The layer is independent of calls and routes and
+// depends only on core::Runtime.
 #ifndef CROFTRUN_MGCP_TRANSACTIONS_H_
 #define CROFTRUN_MGCP_TRANSACTIONS_H_
 
@@ -24,20 +25,23 @@
 
 using core::Address;
 
-// Times in microseconds. Defaults are those of RFC 3435 3.5.1 and 3.5.3 unless said.
+// Times in microseconds. The defaults are those of RFC 3435 3.5.1 and 3.5.3 unless noted.
 struct TransactionSettings {
-  TimeUs first_timeout_us = 200'000;  // before any round trip to the peer was measured
-  TimeUs least_timeout_us = 20'000;   // of the adaptive timer (ours: loopback answers in well under 1 ms)
-  TimeUs longest_timeout_us = 4'000'000;
-  TimeUs give_up_us = 20'000'000;      // T-MAX: the last repeat
-  TimeUs history_us = 30'000'000;      // T-HIST: how long answers are kept for repeats
-  std::size_t most_pending = 65'536;   // commands sent and not yet answered
-  std::size_t most_history = 262'144;  // answers kept; beyond, new commands are answered 409 (bounded, never silent)
-  std::size_t most_peers = 4'096;      // round-trip estimates kept
+  TimeUs first_timeout_us = 200'000;  // retransmission timer until a round trip to the peer has been measured
+  TimeUs min_timeout_us = 20'000;     // of the adaptive timer; not from the RFC (loopback responds well within 1 ms)
+  TimeUs longest_timeout_us = 4'000'000;  // of the adaptive timer
+  TimeUs give_up_us = 20'000'000;         // T-MAX: a command without a response fails after this time
+  TimeUs history_us = 30'000'000;         // T-HIST: how long responses are kept for retransmitted commands
+  std::size_t most_pending = 65'536;      // sent commands without a final response
+  std::size_t most_history = 262'144;     // responses kept; beyond that, new commands are rejected with 409
+  std::size_t max_peers = 4'096;          // round-trip estimates kept
 };
 
-// How a command that was sent ended. kAnswered: `message` holds the final response, for the call's duration only.
-enum class Ending : std::uint8_t { kAnswered, kNoAnswer, kTooMany };
+// How the transaction of a sent command ended: with a final response, without one within T-MAX, or not sent because too
+// many commands are pending.
+enum class Ending : std::uint8_t { kFinalResponse, kNoAnswer, kTooManyPending };
+// The result of a sent command. `message` is the final response if `ending` is kFinalResponse, and is valid only during
+// the callback.
 struct Answered {
   Ending ending = Ending::kNoAnswer;
   const Message* message = nullptr;
@@ -46,38 +50,44 @@
   bool ok() const { return code() >= 200 && code() < 300; }
 };
 
+// `refused_full` counts commands that were not sent or not accepted because a limit was reached.
 struct TransactionCounters {
   std::uint64_t sent = 0, repeated = 0, answered = 0, given_up = 0;
   std::uint64_t received = 0, received_again = 0, malformed = 0, unknown_responses = 0, refused_full = 0;
-  std::uint64_t postponed = 0;  // repeats put off, as the own queue was long
+  std::uint64_t postponed = 0;  // retransmissions postponed because the local event queue had grown
 };
 
+// Sends and receives MGCP messages on one UDP port.
 class Transactions : public core::DatagramSink {
  public:
   using OnAnswer = std::function<void(const Answered&)>;
-  // A command to send: everything below its first line, and what to do with the answer.
-  struct Outgoing {
+  // A command to send.
+  struct OutgoingCommand {
     Verb verb = Verb::kNtfy;
     std::string endpoint;
-    std::string body;
-    OnAnswer on_answer;
+    std::string body;  // everything after the command line
+    OnAnswer on_result;
   };
-  // Handle of a received command, to answer it now or later. 0 is none.
+  // Handle of a received command, for responding now or later. 0 means none.
   using CommandId = std::uint64_t;
-  using OnCommand = std::function<void(CommandId, const Address& from, const Message&)>;
+  using CommandHandler = std::function<void(CommandId, const Address& from, const Message&)>;
 
-  // Opens `local`; throws std::system_error. `on_command` owes each command one Respond.
-  Transactions(core::Runtime* runtime, const Address& local, const TransactionSettings& settings, OnCommand on_command);
+  // Opens the port `local`; throws std::system_error on failure. Each command passed to `on_command` must be completed
+  // by exactly one call of Respond or Reject.
+  Transactions(core::Runtime* runtime, const Address& local, const TransactionSettings& settings,
+               CommandHandler on_command);
   ~Transactions() override;
 
-  // Sends a command; its id, or 0 if too many are pending (then `on_answer` has been called with kTooMany).
-  std::uint32_t Send(const Address& to, Outgoing command);
-  // From now on only these hosts command or answer here. What others send is dropped as it is read off the socket,
-  // costs nothing that lasts, and is answered (500) at a trickle. `in_use`: whether a call is in progress at the
-  // endpoint of a command; its answers have room of their own.
+  // Sends a command and returns its transaction identifier. If too many commands are pending, calls `on_result` with
+  // kTooManyPending and returns 0.
+  std::uint32_t Send(const Address& to, OutgoingCommand command);
+  // From now on accepts messages from these hosts only. Datagrams from other hosts are dropped when they are read from
+  // the socket and leave no state; some of their commands receive error 500, at a limited rate. `in_use` returns
+  // whether a call is in progress at the endpoint of a command; part of the response history is reserved for such
+  // endpoints.
   void SetKnownHosts(std::vector<std::uint32_t> hosts, std::function<bool(const Message&)> in_use);
-  // While one lives, what is sent to a peer is gathered and leaves in as few datagrams as hold it, in order
-  // (piggybacking, RFC 3435 3.5.5); each command stays a transaction of its own. May be nested.
+  // While a Cork exists, messages to a peer are collected and sent in order in as few datagrams as possible
+  // (piggy-backing, RFC 3435 3.5.5). Each command remains a separate transaction. Corks may be nested.
   class Cork {
    public:
     explicit Cork(Transactions* transactions) : transactions_(transactions) { ++transactions_->corks_; }
@@ -90,45 +100,48 @@
    private:
     Transactions* transactions_;
   };
-  // Stops repeating, for a command that no longer matters but may have been carried out: the callback still gets a
-  // late answer, or kNoAnswer when T-MAX has passed.
+  // Stops retransmitting a command that no longer matters but may have been executed. The callback still receives a
+  // late response, or kNoAnswer once T-MAX has passed.
   void StopRepeating(std::uint32_t transaction);
 
-  // The final answer to a command. `body` as in Outgoing. A second answer to the same command is ignored.
+  // Sends the final response to a command; `body` as in OutgoingCommand. A second response to the same command is
+  // ignored.
   void Respond(CommandId command, int code, std::string_view body = {}, std::string_view comment = {});
-  // An error that any repeat of the command would get again: nothing is remembered of it.
+  // Sends an error response that is not kept in the history. Only for errors that a retransmission of the command would
+  // receive again.
   void Reject(CommandId command, int code, std::string_view comment);
-  // 100: the final answer comes later (RFC 3435 3.2.3); the sender stops repeating at its short timer.
+  // Sends provisional response 100: the final response follows later (RFC 3435 3.2.3), and the sender switches to its
+  // longest retransmission timer.
   void RespondProvisionally(CommandId command);
 
   void OnDatagram(const Address& from, std::string_view bytes) override;
   bool Wants(const Address& from, std::string_view bytes) override;
 
   const TransactionCounters& counters() const { return counters_; }
-  const StrangerCounters& strangers() const { return strangers_; }
+  const StrangerCounters& strangers() const { return unknown_hosts_; }
   std::size_t pending() const { return pending_.size(); }
   std::size_t history() const { return history_.size(); }
   Address Local() const { return port_->Local(); }
 
  private:
-  // One command sent.
+  // A sent command without a final response.
   struct Pending {
     Address to;
     std::string text;
-    OnAnswer on_answer;
+    OnAnswer on_result;
     TimeUs first_sent = 0;
     TimeUs timeout = 0;
-    TimeUs allowed = 0;  // for the own queue, in the timer that runs
+    TimeUs queue_allowance = 0;  // part of the running timer that allows for the delay of the local event queue
     core::TimerId timer = core::kNoTimer;
-    bool repeated = false;
-    bool provisional = false;
-    bool quiet = false;  // not repeated any more
+    bool retransmitted = false;
+    bool provisional = false;  // a provisional response has arrived
+    bool retransmission_stopped = false;
   };
-  // Round trip to a peer, as in RFC 3435 3.5.3 (smoothed mean and deviation).
+  // Smoothed mean and deviation of the round trip to a peer, as in RFC 3435 3.5.3.
   struct Peer {
     double mean_us = 0.0;
     double deviation_us = 0.0;
-    std::vector<std::uint32_t> to_acknowledge;  // answered by the peer, not yet said in a K: line
+    std::vector<std::uint32_t> to_acknowledge;  // responses received from the peer, to be listed in a K: line
   };
   using Key = std::pair<Address, std::uint32_t>;
   struct KeyHash {
@@ -138,63 +151,66 @@
       return static_cast<std::size_t>(x ^ x >> 29U);
     }
   };
-  // One command received.
+  // A received command.
   struct Received {
     CommandId id = 0;
-    std::string answer;  // empty while not answered
-    bool provisional = false;
-    HistoryRoom::Place place;
+    std::string response;      // empty until the final response has been sent
+    bool provisional = false;  // a provisional response has been sent
+    HistoryRoom::Place reservation;
   };
   using History = std::unordered_map<Key, Received, KeyHash>;
-  void Forget(History::iterator received);
+  void RemoveFromHistory(History::iterator received);
 
-  // Ids whose answers the sender has confirmed: the answer is not needed any more, but that the command was carried
-  // out is, until its last copy has died. Ids of a peer mostly follow each other, so ranges hold a great many.
+  // Transaction identifiers whose responses the sender has acknowledged. The response is no longer needed, but the
+  // identifier must be remembered until the last copy of the command has left the network, so that the command is not
+  // executed again. As a peer's identifiers are mostly consecutive, a few ranges hold a large number of them.
   using Ranges = std::map<std::uint32_t, std::uint32_t>;  // first to last
-  bool IsConfirmed(const Address& peer, std::uint32_t id) const;
-  void Confirm(const Address& peer, std::uint32_t id);
+  bool IsAcknowledged(const Address& peer, std::uint32_t id) const;
+  void RecordAcknowledged(const Address& peer, std::uint32_t id);
 
-  Peer& PeerAt(const Address& address);
+  Peer& FindOrAddPeer(const Address& address);
   TimeUs TimeoutFor(const Address& to) const;
-  void Arm(std::uint32_t transaction, Pending& pending);
-  void Repeat(std::uint32_t transaction);
-  void Finish(std::uint32_t transaction, Ending ending, const Message* message);
-  void OnResponse(const Address& from, const Message& message);
-  void OnRequest(const Address& from, const Message& message);
-  void OnMalformed(const Address& from, const ParseError& error);
-  void ForgetAcknowledged(const Address& from, std::string_view ranges);
-  void ForgetOld();
-  // The one place where octets leave.
-  void Out(const Address& to, std::string_view text);
+  void StartRetransmissionTimer(std::uint32_t transaction, Pending& pending);
+  void OnRetransmissionTimer(std::uint32_t transaction);
+  void CompleteTransaction(std::uint32_t transaction, Ending ending, const Message* message);
+  void HandleResponse(const Address& from, const Message& message);
+  void HandleCommand(const Address& from, const Message& message);
+  void HandleMalformed(const Address& from, const ParseError& error);
+  // Processes a response acknowledgement (K: parameter): drops the responses of the listed identifiers.
+  void HandleResponseAck(const Address& from, std::string_view ranges);
+  // Drops responses and acknowledged identifiers older than T-HIST.
+  void ExpireHistory();
+  // Sends `text`, or collects it for Flush while a Cork exists.
+  void SendOrCollect(const Address& to, std::string_view text);
   void Flush();
 
   core::Runtime* runtime_;
   TransactionSettings settings_;
-  OnCommand on_command_;
+  CommandHandler on_command_;
   std::uint32_t next_transaction_;
   CommandId next_command_ = 1;
   std::unordered_map<std::uint32_t, Pending> pending_;
   std::map<Address, Peer> peers_;
   History history_;
-  PeerGuard guard_;
-  HistoryRoom room_;
+  PeerFilter peer_filter_;
+  HistoryRoom history_quota_;
   std::function<bool(const Message&)> in_use_;
-  StrangerCounters strangers_;
-  std::unordered_map<CommandId, Key> open_;  // received, not answered
-  struct Aged {
-    TimeUs answered_at = 0;
+  StrangerCounters unknown_hosts_;
+  std::unordered_map<CommandId, Key> awaiting_response_;  // received commands without a final response
+  struct HistoryEntry {
+    TimeUs responded_at = 0;
     Key key;
     CommandId id = 0;  // a later command may have the same key
   };
-  std::deque<Aged> history_order_;  // by the time of the answer
-  // Two generations, each for T-HIST: what is in neither is older than its last copy.
-  std::map<Address, Ranges> confirmed_, confirmed_before_;
-  std::size_t confirmed_ranges_ = 0;
-  TimeUs generation_began_ = 0;
+  std::deque<HistoryEntry> history_order_;  // by the time of the response
+  // Two generations, each collected for T-HIST. The copies of a command whose identifier is in neither have expired.
+  std::map<Address, Ranges> acknowledged_, previous_acknowledged_;
+  std::size_t acknowledged_range_count_ = 0;  // of the current generation
+  TimeUs generation_start_ = 0;
   int corks_ = 0;
-  std::vector<std::pair<Address, std::string>> gathered_;  // by peer; a handful at most
+  std::vector<std::pair<Address, std::string>> collected_;  // datagrams by peer; only a few peers
   TransactionCounters counters_;
-  std::unique_ptr<core::DatagramPort> port_;  // last: closed first
+  std::unique_ptr<core::DatagramPort> port_;  // declared last, so that it is closed first
 };
 
 }  // namespace croftrun::mgcp
--- a/tests/mgcp_test.cpp
+++ b/tests/mgcp_test.cpp
@@ -8,7 +8,8 @@
 namespace croftrun::mgcp {
 namespace {
 
-Message One(std::string_view text) {
+// Parses a datagram that must hold exactly one valid message.
+Message ParseOne(std::string_view text) {
   const auto parsed = ParseDatagram(text);
   EXPECT_EQ(parsed.size(), 1U) << text;
   if (parsed.size() != 1 || !std::holds_alternative<Message>(parsed[0])) {
@@ -18,7 +19,8 @@
   return std::get<Message>(parsed[0]);
 }
 
-ParseError Wrong(std::string_view text) {
+// Parses a datagram that must hold exactly one malformed message.
+ParseError ParseInvalid(std::string_view text) {
   const auto parsed = ParseDatagram(text);
   if (parsed.size() != 1 || !std::holds_alternative<ParseError>(parsed[0])) {
     ADD_FAILURE() << "expected an error: " << text;
@@ -27,53 +29,53 @@
   return std::get<ParseError>(parsed[0]);
 }
 
-TEST(MgcpMessage, ReadsACommandWithParametersAndSession) {
-  const Message m =
-      One("CRCX 1204 ds/3/7@gw.example MGCP 1.0\r\nC: A3C47F\r\nm: recvonly\r\nX-Class: slot-hold\r\n\r\nv=0\r\no=- 1 "
-          "1\r\n");
+TEST(MgcpMessage, ParsesCommandWithParametersAndSession) {
+  const Message m = ParseOne(
+      "CRCX 1204 ds/3/7@gw.example MGCP 1.0\r\nC: A3C47F\r\nm: recvonly\r\nX-Class: slot-hold\r\n\r\nv=0\r\no=- 1 "
+      "1\r\n");
   EXPECT_EQ(m.verb, Verb::kCrcx);
   EXPECT_EQ(m.transaction, 1204U);
   EXPECT_EQ(m.endpoint.local, "ds/3/7");
   EXPECT_EQ(m.endpoint.domain, "gw.example");
-  EXPECT_EQ(m.Get("M"), "recvonly");  // names in either case
+  EXPECT_EQ(m.Get("M"), "recvonly");  // parameter names are case-insensitive
   EXPECT_EQ(m.Get("x-class"), "slot-hold");
   EXPECT_EQ(m.session, "v=0\r\no=- 1 1\r\n");
   EXPECT_EQ(m.Find("Q"), nullptr);
 }
 
-TEST(MgcpMessage, ReadsAResponseWithBareLineFeeds) {
-  const Message m = One("250 1204 Connection deleted\nP: PS=10\n");
+TEST(MgcpMessage, ParsesResponseWithBareLineFeeds) {
+  const Message m = ParseOne("250 1204 Connection deleted\nP: PS=10\n");
   EXPECT_FALSE(m.is_command);
   EXPECT_EQ(m.code, 250);
   EXPECT_EQ(m.comment, "Connection deleted");
   EXPECT_EQ(m.Get("P"), "PS=10");
 }
 
-TEST(MgcpMessage, PiggybackedMessagesAreReadEachByItself) {
+TEST(MgcpMessage, ParsesPiggybackedMessagesIndependently) {
   const auto parsed =
       ParseDatagram("200 5\r\n.\r\nRQNT x aaln/1@gw MGCP 1.0\r\n.\r\nNTFY 7 aaln/1@gw MGCP 1.0\r\nO: L/hu\r\n");
   ASSERT_EQ(parsed.size(), 3U);
   EXPECT_EQ(std::get<Message>(parsed[0]).code, 200);
-  EXPECT_TRUE(std::holds_alternative<ParseError>(parsed[1]));  // and its neighbours are whole
+  EXPECT_TRUE(std::holds_alternative<ParseError>(parsed[1]));  // the other messages are not affected
   EXPECT_EQ(std::get<Message>(parsed[2]).Get("O"), "L/hu");
 }
 
-TEST(MgcpMessage, AnErrorSaysWhereWhatAndWhetherItCanBeAnswered) {
-  const ParseError version = Wrong("RQNT 12 aaln/1@gw MGCP 0.1\r\n");
+TEST(MgcpMessage, ParseErrorGivesOffsetReasonAndTransactionId) {
+  const ParseError version = ParseInvalid("RQNT 12 aaln/1@gw MGCP 0.1\r\n");
   EXPECT_EQ(version.code, kUnsupportedVersion);
   EXPECT_EQ(version.transaction, 12U);
   EXPECT_EQ(version.Text(), "byte 23: expected version 1.0, found '0.1'");
-  EXPECT_EQ(Wrong("RQNT 12 nowhere MGCP 1.0\r\n").code, kUnknownEndpoint);
-  EXPECT_FALSE(Wrong("RQNT 0 aaln/1@gw MGCP 1.0\r\n").transaction.has_value());
-  EXPECT_FALSE(Wrong("RQNT 1000000000 aaln/1@gw MGCP 1.0\r\n").transaction.has_value());
-  EXPECT_FALSE(Wrong("\x01\x02").transaction.has_value());
-  EXPECT_EQ(Wrong("RQNT 12 aaln/1@gw MGCP 1.0\r\nno colon here\r\n").transaction, 12U);
+  EXPECT_EQ(ParseInvalid("RQNT 12 nowhere MGCP 1.0\r\n").code, kUnknownEndpoint);
+  EXPECT_FALSE(ParseInvalid("RQNT 0 aaln/1@gw MGCP 1.0\r\n").transaction.has_value());
+  EXPECT_FALSE(ParseInvalid("RQNT 1000000000 aaln/1@gw MGCP 1.0\r\n").transaction.has_value());
+  EXPECT_FALSE(ParseInvalid("\x01\x02").transaction.has_value());
+  EXPECT_EQ(ParseInvalid("RQNT 12 aaln/1@gw MGCP 1.0\r\nno colon here\r\n").transaction, 12U);
   std::string many = "RQNT 12 aaln/1@gw MGCP 1.0\r\n";
-  for (std::size_t i = 0; i <= kMostParameters; ++i) many += "X-A: 1\r\n";
-  EXPECT_EQ(Wrong(many).transaction, 12U);
+  for (std::size_t i = 0; i <= kMaxParameters; ++i) many += "X-A: 1\r\n";
+  EXPECT_EQ(ParseInvalid(many).transaction, 12U);
 }
 
-TEST(MgcpMessage, WildcardsNameEndpointsTermByTerm) {
+TEST(MgcpMessage, WildcardsMatchEndpointsTermByTerm) {
   EXPECT_TRUE(EndpointMatches("aaln/*", "aaln/17"));
   EXPECT_TRUE(EndpointMatches("ds/*", "ds/3/7"));
   EXPECT_TRUE(EndpointMatches("ds/*/7", "ds/3/7"));
@@ -83,7 +85,7 @@
   EXPECT_TRUE(EndpointMatches("AALN/1", "aaln/1"));
 }
 
-TEST(MgcpEvents, NestedRequestsAreSplitAtTheTopOnly) {
+TEST(MgcpEvents, SplitsNestedRequestsAtTopLevelOnly) {
   const auto events =
       ParseEventList("L/hd(E(R(D/[0-9*#](D),L/hu(N)),D((xx|9T)),S(L/dl))), MS/sup@1A(addr(12),id(7)) , hu");
   ASSERT_TRUE(events);
@@ -96,10 +98,10 @@
   EXPECT_EQ((*events)[2].package, "");
   EXPECT_FALSE(ParseEventList("L/hd(N"));
   EXPECT_FALSE(ParseEventList("L/hd)N("));
-  EXPECT_FALSE(ParseEventList("a(b(c(d(e(f)))))"));  // deeper than any real request
+  EXPECT_FALSE(ParseEventList("a(b(c(d(e(f)))))"));  // nested deeper than the limit
 }
 
-TEST(DigitMap, DecidesAsDigitsComeIn) {
+TEST(DigitMap, MatchesDigitsAsTheyArrive) {
   const auto map = DigitMap::Parse("(0T|00T|[1-7]xxx|8xxxxxxx|#xxxxxxx|*xx|91x.T)");
   ASSERT_TRUE(map);
   using enum DigitMap::Match;
@@ -113,23 +115,23 @@
   EXPECT_EQ(map->Check("91"), kPartial);
   EXPECT_EQ(map->Check("9155512", true), kComplete);
   EXPECT_EQ(map->Check("*69"), kComplete);
-  EXPECT_EQ(map->Check("1234", true), kComplete);  // whole before the timer ran out
+  EXPECT_EQ(map->Check("1234", true), kComplete);  // complete before the timer expired
   for (const char* wrong : {"", "(", "x|", "[9-1]", "[", ".x", "(1|2", "q"})
     EXPECT_FALSE(DigitMap::Parse(wrong)) << wrong;
 }
 
 // ---- properties ----
 
-std::string Token(std::size_t longest) {
-  const auto size = *rc::gen::inRange<std::size_t>(1, longest + 1);
+std::string Token(std::size_t max_size) {
+  const auto size = *rc::gen::inRange<std::size_t>(1, max_size + 1);
   return *rc::gen::container<std::string>(size, rc::gen::elementOf(std::string("abcXYZ019-")));
 }
 
-TEST(MgcpProperties, WhatIsWrittenParsesBackTheSame) {
+TEST(MgcpProperties, WrittenMessageParsesBackUnchanged) {
   rc::check([] {
     std::string text;
     Writer writer(&text);
-    const auto transaction = *rc::gen::inRange<std::uint32_t>(1, kLargestTransaction + 1);
+    const auto transaction = *rc::gen::inRange<std::uint32_t>(1, kMaxTransactionId + 1);
     const bool command = *rc::gen::arbitrary<bool>();
     const auto verb = static_cast<Verb>(*rc::gen::inRange(0, 9));
     const std::string local = Token(8) + "/" + Token(8), domain = Token(12);
@@ -167,7 +169,7 @@
   });
 }
 
-TEST(MgcpProperties, NoOctetsMakeTheParserFail) {
+TEST(MgcpProperties, ParserHandlesArbitraryOctets) {
   const std::string seed =
       "CRCX 1204 ds/3/7@gw MGCP 1.0\r\nC: A3\r\nR: L/hd(E(R(D/[0-9](D)),D((x.T))))\r\n\r\nv=0\r\n.\r\n200 7 OK\r\n";
   std::mt19937 random(4);
