--- a/src/reach/account.cpp
+++ b/src/reach/account.cpp
@@ -6,6 +6,7 @@
 namespace croftrun::reach {
 namespace {
 
+// A time or duration in seconds with three decimals.
 std::string Seconds(TimeUs at) {
   std::string text = std::to_string(at / 1000);
   text.insert(text.size() > 3 ? text.size() - 3 : 0, text.size() > 3 ? "." : "0.");
@@ -33,43 +34,43 @@
   return kNames[static_cast<std::size_t>(lost)];
 }
 
-std::uint64_t Account::Lost() const { return std::accumulate(lost.begin(), lost.end(), std::uint64_t{0}); }
+std::uint64_t Account::LostTotal() const { return std::accumulate(lost.begin(), lost.end(), std::uint64_t{0}); }
 
-Lost Ledger::Cause(const TryEnd& t) {
-  if (t.how == "hung-up") return reach::Lost::kCallerGone;
-  if (t.own_edge_down) return reach::Lost::kOwnEdge;
-  if (t.how == "unanswered") return reach::Lost::kPath;
+Lost Ledger::Category(const TryEnd& t) {
+  if (t.how == "hung-up") return Lost::kCallAbandoned;
+  if (t.own_edge_down) return Lost::kOwnEdge;
+  if (t.how == "unanswered") return Lost::kPath;
   if (!t.sent) {
-    if (!t.direct && t.tandems == 0) return reach::Lost::kNoCircuit;
-    return t.late ? reach::Lost::kLateRedial : t.healthy ? reach::Lost::kNotTried : reach::Lost::kNotTriedUnwell;
+    if (!t.direct && t.tandems == 0) return Lost::kNoCircuit;
+    return t.late ? Lost::kLateRedial : t.healthy ? Lost::kNotTried : Lost::kNotTriedUnhealthy;
   }
-  const auto state = [&](reach::Lost otherwise) {
-    return t.dead ? reach::Lost::kDead : t.cold ? reach::Lost::kCold : t.slow ? reach::Lost::kSlow : otherwise;
+  const auto state = [&](Lost otherwise) {
+    return t.dead ? Lost::kExchangeDown : t.cold ? Lost::kWarmingUp : t.slow ? Lost::kExchangeOverloaded : otherwise;
   };
   switch (t.end) {
     case SetUpEnd::kOwnDown:
-      return reach::Lost::kOwnEdge;
+      return Lost::kOwnEdge;
     case SetUpEnd::kOwnRefused:
-      return reach::Lost::kStuckCircuit;
+      return Lost::kStuckCircuit;
     case SetUpEnd::kReleased:
-      if (t.cause == 44) return reach::Lost::kGlare;
-      if (t.cause == 47) return reach::Lost::kStuckCircuit;
-      if (t.cause == 17) return reach::Lost::kBusy;
-      if (t.cause == 27) return reach::Lost::kDead;
-      if (t.cause == 34) return t.direct || t.tandems > 0 ? reach::Lost::kTurnedBack : reach::Lost::kNoCircuit;
-      if (t.cause == 42) return state(reach::Lost::kSlow);
-      return state(reach::Lost::kDead);
+      if (t.cause == 44) return Lost::kGlare;
+      if (t.cause == 47) return Lost::kStuckCircuit;
+      if (t.cause == 17) return Lost::kLinesBusy;
+      if (t.cause == 27) return Lost::kExchangeDown;
+      if (t.cause == 34) return t.direct || t.tandems > 0 ? Lost::kCrankback : Lost::kNoCircuit;
+      if (t.cause == 42) return state(Lost::kExchangeOverloaded);
+      return state(Lost::kExchangeDown);
     default:
-      // Given up, or cut off while it was out: by what it was sent to.
-      return state(reach::Lost::kPath);
+      // Cancelled or still pending: attributed to the state of the exchange that the set-up was sent to.
+      return state(Lost::kPath);
   }
 }
 
 void Ledger::OnTry(TimeUs at, const TryEnd& t) {
   Account& account = accounts_[static_cast<std::size_t>(t.call_class)];
   if (t.how == "cut" || t.how == "cut-late") {
-    --(t.how == "cut" ? account.in_time : account.late);  // it was entered as a good end when it stood
-    ++account.lost[static_cast<std::size_t>(Lost::kCut)];
+    --(t.how == "cut" ? account.in_time : account.late);  // counted there when the call was established
+    ++account.lost[static_cast<std::size_t>(Lost::kTerminated)];
     return;
   }
   ++account.tries;
@@ -78,55 +79,57 @@
   } else if (t.how == "stands-late") {
     ++account.late;
   } else {
-    ++account.lost[static_cast<std::size_t>(Cause(t))];
+    ++account.lost[static_cast<std::size_t>(Category(t))];
   }
-  // A group that is free between healthy exchanges and whose calls are refused unsent.
+  // The call was refused without a set-up although the direct group was free and both exchanges were healthy.
   const bool wasted = (t.how == "refused" || t.how == "failed") && !t.sent && !t.late && t.direct && t.healthy;
-  Refused& idle = idle_[{t.from, t.to}];
-  Refused& avoided = avoided_[t.to];
+  RefusedCalls& idle = idle_groups_[{t.from, t.to}];
+  RefusedCalls& avoided = avoided_exchanges_[t.to];
   if (!t.direct || !t.healthy) {
     idle = {};
     if (!t.healthy) avoided = {};
     return;
   }
   if (!wasted) return;
-  for (Refused* run : {&idle, &avoided}) {
-    if (run->count++ == 0) run->since = at;
+  for (RefusedCalls* refused : {&idle, &avoided}) {
+    if (refused->count++ == 0) refused->since = at;
   }
-  if (!idle.told && at - idle.since >= limits_.idle_us && idle.count >= limits_.idle_refused) {
-    idle.told = true;
-    Waste(at, "exchange " + std::to_string(t.from) + " refused " + std::to_string(idle.count) + " calls to " +
-                  std::to_string(t.to) + " in " + Seconds(at - idle.since) +
-                  " while their group had circuits free, both exchanges were well, and sent none");
+  if (!idle.reported && at - idle.since >= limits_.min_idle_us && idle.count >= limits_.min_idle_refusals) {
+    idle.reported = true;
+    RecordWaste(at, "exchange " + std::to_string(t.from) + " refused " + std::to_string(idle.count) + " calls to " +
+                        std::to_string(t.to) + " in " + Seconds(at - idle.since) +
+                        " and sent no set-up, although the direct group had free circuits and both exchanges were "
+                        "healthy");
   }
-  if (!avoided.told && at - avoided.since >= limits_.avoided_us && avoided.count >= limits_.avoided_refused) {
-    avoided.told = true;
-    Waste(at, "nobody sent a set-up to exchange " + std::to_string(t.to) + " for " + Seconds(at - avoided.since) +
-                  ", though it was well and " + std::to_string(avoided.count) + " calls to it were refused");
+  if (!avoided.reported && at - avoided.since >= limits_.min_avoided_us &&
+      avoided.count >= limits_.min_avoided_refusals) {
+    avoided.reported = true;
+    RecordWaste(at, "exchange " + std::to_string(t.to) + " received no set-up for " + Seconds(at - avoided.since) +
+                        ", although it was healthy and " + std::to_string(avoided.count) + " calls to it were refused");
   }
 }
 
 void Ledger::OnSetUp(TimeUs, int from, int to, int destination) {
-  if (to == destination) idle_[{from, to}] = {};
-  avoided_[to] = {};
+  if (to == destination) idle_groups_[{from, to}] = {};
+  avoided_exchanges_[to] = {};
 }
 
 void Ledger::OnCircuitRefused(TimeUs at, int from, const std::string& circuit) {
   ++refusals_;
-  Running& run = running_[{from, circuit}];
-  run.close = run.close > 0 && at - run.last < limits_.refusal_gap_us ? run.close + 1 : 1;
+  RefusalRun& run = refusal_runs_[{from, circuit}];
+  run.close = run.close > 0 && at - run.last < limits_.max_refusal_gap_us ? run.close + 1 : 1;
   run.last = at;
-  most_running_ = std::max(most_running_, ++run.all);
-  if (run.close == limits_.refusals_running)
-    Waste(at, "exchange " + std::to_string(from) + " seized " + circuit + " and was refused " +
-                  std::to_string(run.close) + " times running");
+  max_consecutive_refusals_ = std::max(max_consecutive_refusals_, ++run.all);
+  if (run.close == limits_.max_consecutive_refusals)
+    RecordWaste(at, "exchange " + std::to_string(from) + " seized " + circuit + " and was refused " +
+                        std::to_string(run.close) + " times in a row");
 }
 
-void Ledger::OnCircuitUsed(int from, const std::string& circuit) { running_.erase({from, circuit}); }
+void Ledger::OnCircuitUsed(int from, const std::string& circuit) { refusal_runs_.erase({from, circuit}); }
 
-void Ledger::Waste(TimeUs at, const std::string& what) {
+void Ledger::RecordWaste(TimeUs at, const std::string& description) {
   ++wasted_;
-  if (examples_.size() < kMostExamples) examples_.push_back(Seconds(at) + ": " + what);
+  if (examples_.size() < kMaxExamples) examples_.push_back(Seconds(at) + ": " + description);
 }
 
 Account Ledger::Total() const {
--- a/src/reach/account.h
+++ b/src/reach/account.h
@@ -1,6 +1,8 @@
-// Where the worth of a day went: every try without a good end charged to exactly one cause, and resources
-// that were plainly wasted. Told what was seen, in order; no I/O, no clock, nothing of the product's own
-// decisions.
+// Accounting of the call attempts of a simulated day: attributes every attempt that was not served to exactly one loss
+// category, and detects wasted resources.
+//
+// The ledger is fed with observations in order of time. It does no I/O, reads no clock and uses nothing of the decision
+// module.
 #ifndef CROFTRUN_REACH_ACCOUNT_H_
 #define CROFTRUN_REACH_ACCOUNT_H_
 
@@ -15,108 +17,119 @@
 
 namespace croftrun::reach {
 
-// Why a try came to nothing.
+// The loss category of a call attempt: why it was not served.
 enum class Lost : std::uint8_t {
-  kNoCircuit,       // no way had a circuit free at its end: none was to be had
-  kNotTried,        // one had, and no set-up was sent: by decision (admission, budget, pause)
-  kNotTriedUnwell,  // the same, and an exchange at either end was not well (down, cold, slow, hung, leaving)
-  kLateRedial,      // the same, for a redial that could no longer be in time
-  kGlare,           // its last set-up met a seizure by the far end
-  kStuckCircuit,    // ... a circuit that the far end held for out of service, or the own gateway for taken
-  kTurnedBack,      // ... a tandem without a circuit onward, though some way was free
-  kCold,            // ... an exchange that had just started
-  kDead,            // ... one that was down, hung or gone
-  kSlow,            // ... one whose processor was slow or full
-  kBusy,            // ... a number whose lines were all busy
-  kPath,            // nobody answered, or the caller heard nothing
-  kOwnEdge,         // the own exchange: processor down, edge killed or standing still
-  kCallerGone,      // hung up before the answer
-  kCut,             // stood, and was cut
+  kNoCircuit,           // no route had a free circuit when the attempt ended
+  kNotTried,            // a route had one, but no set-up was sent, by decision (admission, budget, back-off)
+  kNotTriedUnhealthy,   // as kNotTried, with an unhealthy exchange at either end (down, cold, slow, hung, leaving)
+  kLateRedial,          // as kNotTried, for a redial that could no longer be answered in time
+  kGlare,               // the last set-up collided with a seizure by the far end
+  kStuckCircuit,        // ... used a circuit that the far end took as out of service or the own gateway as in use
+  kCrankback,           // ... reached a tandem without a free onward circuit, though some route was free
+  kWarmingUp,           // ... was sent to an exchange that had just started
+  kExchangeDown,        // ... was sent to an exchange that was down, hung or gone
+  kExchangeOverloaded,  // ... was sent to an exchange whose processor was slow or full
+  kLinesBusy,           // ... was for a number whose lines were all busy
+  kPath,                // no response to the set-up arrived, or the caller received no final answer
+  kOwnEdge,             // the own exchange failed: processor down, edge killed or stalled
+  kCallAbandoned,       // the caller hung up before the answer
+  kTerminated,          // the call was established and then terminated
 };
 inline constexpr std::size_t kLost = 15;
+// The name of the category in reports.
 std::string_view Name(Lost lost);
 
-// How a set-up ended, as seen on the wire. kReleased comes with its cause (ITU-T Q.850).
+// How a set-up ended, as seen on the wire; kOut means that it has not ended. kReleased has a cause value (ITU-T Q.850).
 enum class SetUpEnd : std::uint8_t { kOut, kAnswered, kReleased, kGivenUp, kOwnRefused, kOwnDown };
 
+// The end of a call attempt, with the state of the network at that moment.
 struct TryEnd {
-  int from = -1, to = -1;
+  int from = -1, to = -1;  // exchanges
   int call_class = 0;
-  // "stands", "stands-late", "refused", "failed", "unanswered", "hung-up"; "cut", "cut-late": a second word.
+  // "stands", "stands-late", "refused", "failed", "unanswered" or "hung-up". "cut" and "cut-late" are reported later,
+  // for an attempt that was reported as "stands" or "stands-late" before.
   std::string_view how;
-  bool direct = false;   // a circuit of the own group was free at both ends
-  int tandems = 0;       // ways over one tandem with a circuit free on both legs
-  bool healthy = false;  // both exchanges up, warm, listed, their processors under a quarter of their longest wait
+  bool direct = false;   // the direct group had a circuit that was free at both ends
+  int tandems = 0;       // routes over one tandem with a free circuit on both groups
+  bool healthy = false;  // both exchanges up, warm and listed, their queueing delays under a quarter of the maximum
   bool own_edge_down = false;
-  bool late = false;  // dialled again when most of the time in which the first try was wanted had passed
-  // The last set-up of the try; kOut with sent false: none was sent.
+  bool late = false;  // a redial made when most of the time for an answer in time had passed
+  // The last set-up of the attempt. If `sent` is false, none was sent.
   bool sent = false;
   SetUpEnd end = SetUpEnd::kOut;
   int cause = 0;
-  bool cold = false, dead = false, slow = false;  // the exchange that it was sent to, at its end
+  bool cold = false, dead = false, slow = false;  // state of the exchange it was sent to when the set-up ended
 };
 
+// Attempts by result.
 struct Account {
   std::uint64_t tries = 0, in_time = 0, late = 0;
   std::array<std::uint64_t, kLost> lost = {};
-  std::uint64_t Lost() const;
-  // Every try is in one place: the sums are exact.
-  bool Exact() const { return in_time + late + Lost() == tries; }
+  std::uint64_t LostTotal() const;
+  // Whether every attempt is counted exactly once.
+  bool Exact() const { return in_time + late + LostTotal() == tries; }
 };
 
-// Limits of what passes for bad luck; the day fails beyond them.
+// Limits beyond which unused or misused resources count as waste; a day with waste fails.
 struct WasteLimits {
-  unsigned refusals_running = 3;  // of one circuit, with less than the gap between each two
-  TimeUs refusal_gap_us = 1'000'000;
-  // A free group whose calls are refused, between healthy exchanges: longer than a sender rests after losses in a row
-  // (the module: 1, 2, 4 s), ...
-  TimeUs idle_us = 5'000'000;
-  unsigned idle_refused = 8;       // ... so many of them at least, and none set up on it meanwhile
-  TimeUs avoided_us = 10'000'000;  // a healthy exchange to which nobody sends, while so many calls are refused
-  unsigned avoided_refused = 12;
+  unsigned max_consecutive_refusals = 3;  // of one circuit, each less than max_refusal_gap_us after the one before
+  TimeUs max_refusal_gap_us = 1'000'000;
+  // Idle group: a group with free circuits between healthy exchanges whose calls are refused for this time, with at
+  // least this many refusals and no set-up on it. The time is longer than a sender's back-off after consecutive losses
+  // (1, 2 and 4 s in the decision module).
+  TimeUs min_idle_us = 5'000'000;
+  unsigned min_idle_refusals = 8;
+  // Avoided exchange: a healthy exchange that receives no set-up for this time while at least this many calls to it are
+  // refused.
+  TimeUs min_avoided_us = 10'000'000;
+  unsigned min_avoided_refusals = 12;
 };
 
+// Attributes every call attempt to a result and detects waste.
 class Ledger {
  public:
-  static constexpr std::size_t kMostExamples = 10;
+  static constexpr std::size_t kMaxExamples = 10;
   explicit Ledger(std::size_t classes, const WasteLimits& limits = {}) : limits_(limits), accounts_(classes) {}
 
   void OnTry(TimeUs at, const TryEnd& end);
-  // A set-up left `from` for `to` (the exchange at the other end of the circuit), on behalf of a call to
-  // `destination`.
+  // A set-up for a call to `destination` was sent from `from` to `to`, the exchange at the far end of the circuit.
   void OnSetUp(TimeUs at, int from, int to, int destination);
-  // A seizure of this circuit was refused for the circuit's sake (glare, out of service), or it did its work.
+  // A seizure of this circuit was refused because of the circuit's state (glare, out of service), or the circuit was
+  // used successfully.
   void OnCircuitRefused(TimeUs at, int from, const std::string& circuit);
   void OnCircuitUsed(int from, const std::string& circuit);
 
   const std::vector<Account>& accounts() const { return accounts_; }
   Account Total() const;
-  // Most refusals of one circuit in a row, whatever lies between them.
-  unsigned most_running() const { return most_running_; }
+  // The largest number of consecutive refusals of one circuit, regardless of the time between them.
+  unsigned most_running() const { return max_consecutive_refusals_; }
   std::uint64_t refusals() const { return refusals_; }
-  // Wasted resources, with place and time; `wasted` counts them all, the list is bounded.
+  // The number of cases of waste, and a description with place and time of the first kMaxExamples of them.
   std::uint64_t wasted() const { return wasted_; }
   const std::vector<std::string>& examples() const { return examples_; }
 
  private:
-  struct Running {
+  // Consecutive refusals of a circuit: all of them, and those that followed closely.
+  struct RefusalRun {
     unsigned all = 0, close = 0;
     TimeUs last = 0;
   };
-  struct Refused {
-    TimeUs since = 0;  // 0: not running
+  // Refused calls without a set-up in between.
+  struct RefusedCalls {
+    TimeUs since = 0;  // time of the first one; valid if `count` is not 0
     unsigned count = 0;
-    bool told = false;
+    bool reported = false;
   };
-  void Waste(TimeUs at, const std::string& what);
-  static reach::Lost Cause(const TryEnd& end);
+  void RecordWaste(TimeUs at, const std::string& description);
+  // The loss category of an attempt that was not served.
+  static Lost Category(const TryEnd& end);
 
   WasteLimits limits_;
   std::vector<Account> accounts_;
-  std::map<std::pair<int, std::string>, Running> running_;
-  std::map<std::pair<int, int>, Refused> idle_;  // by from and to
-  std::map<int, Refused> avoided_;               // by to
-  unsigned most_running_ = 0;
+  std::map<std::pair<int, std::string>, RefusalRun> refusal_runs_;  // by exchange and circuit
+  std::map<std::pair<int, int>, RefusedCalls> idle_groups_;         // by from and to
+  std::map<int, RefusedCalls> avoided_exchanges_;                   // by to
+  unsigned max_consecutive_refusals_ = 0;
   std::uint64_t refusals_ = 0, wasted_ = 0;
   std::vector<std::string> examples_;
 };
--- a/src/reach/bound.h
+++ b/src/reach/bound.h
@@ -1,11 +1,12 @@
-// What was within reach: an upper bound on the worth that any routing could have answered on a day.
+// An upper bound on the worth that any routing could have served on a given day, by linear programming.
 //
-// A linear relaxation over short intervals. Calls are split at will; a call keeps its circuits for the mean
-// of its holding time, spread over the intervals; processors and groups are held to what they can do over
-// each interval, not at each instant. What it leaves out, all in favour of the bound: that calls are whole;
-// that knowledge is late; work for calls that are refused, repeated or cut; that calls are cut; jams within
-// an interval; and in large networks (`by_tandem` false) which tandem a call goes over: only that it takes
-// two circuits, one at either end. No I/O. The solver is CLP (COIN-OR).
+// The linear program is a relaxation over short intervals. Calls may be split into fractions. A call occupies its
+// circuits for the mean of its holding time, spread over the intervals. The capacity of processors and groups limits
+// the sum over each interval, not the load at each instant. The relaxation ignores the following, all of which can only
+// raise the bound: that calls are indivisible; that information about the network arrives late; processor work for
+// calls that are refused, retried or terminated; that calls are terminated; congestion within an interval; and, in
+// large networks (`by_tandem` false), which tandem a call uses: there it only occupies two circuits, one at either end.
+// No I/O. The solver is CLP (COIN-OR).
 #ifndef CROFTRUN_REACH_BOUND_H_
 #define CROFTRUN_REACH_BOUND_H_
 
@@ -15,65 +16,71 @@
 
 namespace croftrun::reach {
 
+// A class of calls.
 struct ClassOfCall {
-  double worth = 1.0, late_worth = 0.0;  // late: this share of the worth
-  double width = 1.0;                    // circuits on each group
-  // [d]: the mean share of the d-th interval after that of its answer (0: the same one) in which it keeps its
+  double worth = 1.0, late_worth = 0.0;  // late_worth: share of the worth if answered late
+  double width = 1.0;                    // circuits that a call takes on each group
+  // keeps[d]: the mean share of the d-th interval after the one of the answer (d = 0) in which a call occupies its
   // circuits.
   std::vector<double> keeps;
-  std::vector<double> leaves;  // [d]: the share of such calls that end in that interval
-  std::size_t in_time = 1;     // answered so many intervals after that of its offer, a call may still be in time ...
-  std::size_t late = 1;        // ... or late, but before its caller gives up
+  std::vector<double> leaves;  // leaves[d]: the share of calls that are released in that interval
+  std::size_t in_time = 1;     // a call may be answered in time up to this number of intervals after its offer ...
+  std::size_t late = 1;        // ... and late, before the caller gives up, up to this number
 };
 
+// Calls of one class between two exchanges that are offered in one interval.
 struct Demand {
   std::size_t from = 0, to = 0, call_class = 0, interval = 0;
   double calls = 0.0;
-  bool crowded = false;  // to the number with few lines
+  bool crowded = false;  // calls to the number with few lines
 };
 
+// The trunk group between two exchanges.
 struct Group {
   std::size_t a = 0, b = 0;
   std::vector<double> circuits;  // by interval
 };
 
-// Work in units of the processors' figures.
+// Processor work of one call at each exchange on its route, in the unit of Problem::processor.
 struct Work {
-  double origin = 0.0, destination = 0.0,
-         tandem = 0.0;  // of a call, at each exchange on its way, up to its answer
-  double origin_end = 0.0, destination_end = 0.0, tandem_end = 0.0;  // and of its release
+  double origin = 0.0, destination = 0.0, tandem = 0.0;              // from the offer to the answer
+  double origin_end = 0.0, destination_end = 0.0, tandem_end = 0.0;  // for the release
 };
 
+// The day to compute the bound for.
 struct Problem {
   std::size_t exchanges = 0, intervals = 0;
   std::vector<ClassOfCall> classes;
   std::vector<Demand> demands;
   std::vector<Group> groups;
-  std::vector<std::vector<double>> processor;  // [exchange][interval]: work it can do
+  std::vector<std::vector<double>> processor;  // capacity, by exchange and interval
   Work work;
-  std::vector<double> crowded_lines;  // of the crowded number, by interval; empty: no limit
-  std::size_t most_columns = 60'000;  // tandems are told apart while the program stays under this
-  double most_seconds = 60.0;         // for the solver
+  std::vector<double> crowded_lines;  // lines of the crowded number, by interval; empty: no limit
+  std::size_t max_columns = 60'000;   // a larger linear program does not distinguish tandems
+  double max_solver_seconds = 60.0;
 };
 
+// The result.
 struct Bound {
   bool solved = false;
-  double worth = 0.0;    // the bound
-  double offered = 0.0;  // worth of all demands, for the share
-  bool by_tandem = false;
-  std::vector<double> served;  // calls of each class in time, in the best program found
-  // Worth that one more per cent of all groups, or of all processors, would have been good for.
+  double worth = 0.0;          // the upper bound
+  double offered = 0.0;        // worth of all demands
+  bool by_tandem = false;      // whether the linear program distinguishes tandems
+  std::vector<double> served;  // calls of each class answered in time in the optimal solution
+  // Worth gained by 1% more circuits in all groups, or by 1% more capacity of all processors.
   double for_circuits = 0.0, for_processors = 0.0;
-  std::size_t columns = 0, rows = 0;
+  std::size_t columns = 0, rows = 0;  // size of the linear program
+  // The bound as a share of the offered worth.
   double Share() const { return offered > 0.0 ? worth / offered : 1.0; }
 };
 
+// Computes the upper bound.
 Bound UpperBound(const Problem& problem);
 
-// `keeps` of a class whose holding times are exponential with this mean; of calls answered evenly over an
-// interval.
+// ClassOfCall::keeps for exponentially distributed holding times with this mean, if answers are distributed evenly over
+// an interval.
 std::vector<double> Keeps(double mean_us, double interval_us, std::size_t intervals);
-// `leaves` of the same.
+// ClassOfCall::leaves for the same calls.
 std::vector<double> Leaves(double mean_us, double interval_us, std::size_t intervals);
 
 }  // namespace croftrun::reach
--- a/tests/reach_test.cpp
+++ b/tests/reach_test.cpp
@@ -1,4 +1,4 @@
-// The bound against brute force, and the ledger that charges every try once.
+// Tests of the upper bound against an exhaustive search, and of the ledger of call attempts.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -14,67 +14,70 @@
 namespace croftrun::reach {
 namespace {
 
-// Whole calls, each direct or over one tandem in the interval of its offer, each keeping its circuits for
-// whole intervals: the best worth, by trying everything.
-class BruteForce {
+// Finds the best worth by exhaustive search. Calls are indivisible, are routed directly or over one tandem in the
+// interval of their offer, and occupy their circuits for whole intervals.
+class ExhaustiveSearch {
  public:
-  explicit BruteForce(const Problem& p) : p_(p) {
+  explicit ExhaustiveSearch(const Problem& p) : p_(p) {
     for (std::size_t g = 0; g < p.groups.size(); ++g) group_[{p.groups[g].a, p.groups[g].b}] = g;
-    free_.resize(p.groups.size());
-    for (std::size_t g = 0; g < p.groups.size(); ++g) free_[g] = p.groups[g].circuits;
-    work_ = p.processor;
+    free_circuits_.resize(p.groups.size());
+    for (std::size_t g = 0; g < p.groups.size(); ++g) free_circuits_[g] = p.groups[g].circuits;
+    free_work_ = p.processor;
     for (const Demand& d : p.demands) {
       for (int i = 0; i < static_cast<int>(d.calls); ++i) calls_.push_back(d);
     }
   }
   double Best() {
-    Next(0, 0.0);
+    Search(0, 0.0);
     return best_;
   }
 
  private:
   std::size_t Group(std::size_t a, std::size_t b) const { return group_.at({std::min(a, b), std::max(a, b)}); }
-  bool Has(std::size_t a, std::size_t b) const { return group_.count({std::min(a, b), std::max(a, b)}) > 0; }
-  void Next(std::size_t i, double worth) {
+  bool HasGroup(std::size_t a, std::size_t b) const { return group_.count({std::min(a, b), std::max(a, b)}) > 0; }
+  // Decides call `i` and the ones after it; `worth` is that of the calls served so far.
+  void Search(std::size_t i, double worth) {
     best_ = std::max(best_, worth);
     if (i == calls_.size()) return;
     const Demand& d = calls_[i];
-    Next(i + 1, worth);
-    if (Has(d.from, d.to)) Try(i, worth, {{d.from, d.to}}, {});
+    Search(i + 1, worth);
+    if (HasGroup(d.from, d.to)) TryRoute(i, worth, {{d.from, d.to}}, {});
     for (std::size_t t = 0; t < p_.exchanges; ++t) {
-      if (t != d.from && t != d.to && Has(d.from, t) && Has(t, d.to)) Try(i, worth, {{d.from, t}, {t, d.to}}, {t});
+      if (t != d.from && t != d.to && HasGroup(d.from, t) && HasGroup(t, d.to))
+        TryRoute(i, worth, {{d.from, t}, {t, d.to}}, {t});
     }
   }
-  void Try(std::size_t i, double worth, const std::vector<std::pair<std::size_t, std::size_t>>& legs,
-           const std::vector<std::size_t>& tandems) {
+  void TryRoute(std::size_t i, double worth, const std::vector<std::pair<std::size_t, std::size_t>>& groups,
+                const std::vector<std::size_t>& tandems) {
     const Demand& d = calls_[i];
     const ClassOfCall& c = p_.classes[d.call_class];
-    const auto free_before = free_;
-    const auto work_before = work_;
+    const auto free_circuits_before = free_circuits_;
+    const auto free_work_before = free_work_;
     bool fits = true;
-    for (const auto& [a, b] : legs) {
+    for (const auto& [a, b] : groups) {
       for (std::size_t k = 0; k < c.keeps.size() && d.interval + k < p_.intervals; ++k)
-        fits = (free_[Group(a, b)][d.interval + k] -= c.width) >= 0.0 && fits;
+        fits = (free_circuits_[Group(a, b)][d.interval + k] -= c.width) >= 0.0 && fits;
     }
     const auto spend = [&](std::size_t exchange, double work) {
-      fits = (work_[exchange][d.interval] -= work) >= 0.0 && fits;
+      fits = (free_work_[exchange][d.interval] -= work) >= 0.0 && fits;
     };
     spend(d.from, p_.work.origin);
     spend(d.to, p_.work.destination);
     for (const std::size_t t : tandems) spend(t, p_.work.tandem);
-    if (fits) Next(i + 1, worth + c.worth);
-    free_ = free_before;
-    work_ = work_before;
+    if (fits) Search(i + 1, worth + c.worth);
+    free_circuits_ = free_circuits_before;
+    free_work_ = free_work_before;
   }
 
   const Problem& p_;
   std::map<std::pair<std::size_t, std::size_t>, std::size_t> group_;
-  std::vector<std::vector<double>> free_, work_;
+  std::vector<std::vector<double>> free_circuits_, free_work_;
   std::vector<Demand> calls_;
   double best_ = 0.0;
 };
 
-Problem Small(std::mt19937_64* random, std::size_t exchanges, double width) {
+// A small random problem.
+Problem RandomProblem(std::mt19937_64* random, std::size_t exchanges, double width) {
   const auto below = [&](std::uint64_t n) { return (*random)() % n; };
   Problem p;
   p.exchanges = exchanges;
@@ -94,18 +97,18 @@
   return p;
 }
 
-TEST(Bound, IsNeverUnderTheBestOfBruteForceAndSeldomFarOver) {
+TEST(Bound, IsAtLeastAndCloseToExhaustiveSearch) {
   for (const double width : {1.0, 2.0}) {
     std::mt19937_64 random(20261201);
     double best_sum = 0.0, bound_sum = 0.0, loose_sum = 0.0;
     for (int i = 0; i < 200; ++i) {
-      Problem p = Small(&random, 3 + static_cast<std::size_t>(i % 2), width);
-      const double best = BruteForce(p).Best();
+      Problem p = RandomProblem(&random, 3 + static_cast<std::size_t>(i % 2), width);
+      const double best = ExhaustiveSearch(p).Best();
       const Bound bound = UpperBound(p);
       ASSERT_TRUE(bound.solved);
       ASSERT_TRUE(bound.by_tandem);
       ASSERT_GE(bound.worth, best - 1e-6) << "instance " << i;
-      p.most_columns = 0;
+      p.max_columns = 0;
       const Bound loose = UpperBound(p);
       ASSERT_TRUE(loose.solved);
       ASSERT_FALSE(loose.by_tandem);
@@ -114,14 +117,14 @@
       bound_sum += bound.worth;
       loose_sum += loose.worth;
     }
-    // Calls split at will: little where they are narrow, much where two circuits of the two there are are
-    // wanted.
+    // The bound may split calls. That raises it little for narrow calls, but much for calls that need two of the few
+    // circuits of a group.
     EXPECT_LT(bound_sum / best_sum, width == 1.0 ? 1.03 : 1.35);
-    EXPECT_LT(loose_sum / best_sum, width == 1.0 ? 1.10 : 1.45);  // and tandems together
+    EXPECT_LT(loose_sum / best_sum, width == 1.0 ? 1.10 : 1.45);  // without distinguishing tandems
   }
 }
 
-TEST(Bound, IsExactWhereNothingIsSplit) {
+TEST(Bound, IsExactIfNoCallIsSplit) {
   Problem p;
   p.exchanges = 2;
   p.intervals = 3;
@@ -130,8 +133,8 @@
   p.processor = {{9.0, 9.0, 9.0}, {9.0, 9.0, 9.0}};
   p.work = {1.0, 1.0, 1.0};
   p.demands = {{0, 1, 0, 0, 2.0, false}, {0, 1, 1, 0, 1.0, false}, {1, 0, 1, 1, 2.0, false}};
-  // Interval 0: the dear one, and neither of the cheap ones, as both circuits are wanted in 1: one dear in
-  // time there, one late in 2 at half.
+  // Optimum: serve the expensive call of interval 0 and none of the cheap ones, because both circuits are needed in
+  // interval 1. There one expensive call is served in time; the other is served late, in interval 2, at half its worth.
   const Bound bound = UpperBound(p);
   EXPECT_NEAR(bound.worth, 5.0 + 5.0 + 2.5, 1e-6);
   EXPECT_NEAR(bound.offered, 2.0 + 15.0, 1e-9);
@@ -140,7 +143,7 @@
   EXPECT_NEAR(UpperBound(p).worth, 0.0, 1e-9);
 }
 
-TEST(Bound, WhatACallKeepsAddsUpToItsHoldingTime) {
+TEST(Bound, OccupancySumsToHoldingTime) {
   for (const double mean : {1.0, 4.0, 12.0}) {
     double sum = 0.0;
     for (const double share : Keeps(mean, 4.0, 200)) sum += share * 4.0;
@@ -148,9 +151,9 @@
   }
 }
 
-TEST(Ledger, ChargesEveryTryOnceToTheCauseItSaw) {
+TEST(Ledger, AttributesEveryAttemptToOneLossCategory) {
   Ledger ledger(1);
-  const auto end = [&](std::string_view how, const std::function<void(TryEnd&)>& set, Lost expected) {
+  const auto expect_loss = [&](std::string_view how, const std::function<void(TryEnd&)>& set, Lost expected) {
     TryEnd t;
     t.from = 0;
     t.to = 1;
@@ -168,59 +171,59 @@
       t.cause = cause;
     };
   };
-  end(
+  expect_loss(
       "refused", [](TryEnd&) {}, Lost::kNoCircuit);
-  end(
+  expect_loss(
       "refused", [](TryEnd& t) { t.direct = t.healthy = true; }, Lost::kNotTried);
-  end(
+  expect_loss(
       "refused", [](TryEnd& t) { t.tandems = 2, t.healthy = true; }, Lost::kNotTried);
-  end(
-      "refused", [](TryEnd& t) { t.direct = true; }, Lost::kNotTriedUnwell);
-  end(
+  expect_loss(
+      "refused", [](TryEnd& t) { t.direct = true; }, Lost::kNotTriedUnhealthy);
+  expect_loss(
       "refused", [](TryEnd& t) { t.direct = t.healthy = t.late = true; }, Lost::kLateRedial);
-  end("refused", released(44), Lost::kGlare);
-  end("refused", released(47), Lost::kStuckCircuit);
-  end("failed", released(17), Lost::kBusy);
-  end("failed", released(27), Lost::kDead);
-  end("refused", released(34), Lost::kNoCircuit);
-  end(
-      "refused", [&](TryEnd& t) { released(34)(t), t.tandems = 1; }, Lost::kTurnedBack);
-  end("refused", released(42), Lost::kSlow);
-  end(
-      "refused", [&](TryEnd& t) { released(42)(t), t.cold = true; }, Lost::kCold);
-  end(
-      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp, t.slow = true; }, Lost::kSlow);
-  end(
-      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp, t.dead = true; }, Lost::kDead);
-  end(
+  expect_loss("refused", released(44), Lost::kGlare);
+  expect_loss("refused", released(47), Lost::kStuckCircuit);
+  expect_loss("failed", released(17), Lost::kLinesBusy);
+  expect_loss("failed", released(27), Lost::kExchangeDown);
+  expect_loss("refused", released(34), Lost::kNoCircuit);
+  expect_loss(
+      "refused", [&](TryEnd& t) { released(34)(t), t.tandems = 1; }, Lost::kCrankback);
+  expect_loss("refused", released(42), Lost::kExchangeOverloaded);
+  expect_loss(
+      "refused", [&](TryEnd& t) { released(42)(t), t.cold = true; }, Lost::kWarmingUp);
+  expect_loss(
+      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp, t.slow = true; }, Lost::kExchangeOverloaded);
+  expect_loss(
+      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp, t.dead = true; }, Lost::kExchangeDown);
+  expect_loss(
       "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp; }, Lost::kPath);
-  end(
+  expect_loss(
       "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kOwnDown; }, Lost::kOwnEdge);
-  end(
+  expect_loss(
       "refused", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kOwnRefused; }, Lost::kStuckCircuit);
-  end(
+  expect_loss(
       "unanswered", [](TryEnd&) {}, Lost::kPath);
-  end(
+  expect_loss(
       "unanswered", [](TryEnd& t) { t.own_edge_down = true; }, Lost::kOwnEdge);
-  end(
-      "hung-up", [](TryEnd&) {}, Lost::kCallerGone);
-  TryEnd stands;
-  stands.how = "stands-late";
-  ledger.OnTry(2, stands);
+  expect_loss(
+      "hung-up", [](TryEnd&) {}, Lost::kCallAbandoned);
+  TryEnd established_late;
+  established_late.how = "stands-late";
+  ledger.OnTry(2, established_late);
   EXPECT_EQ(ledger.Total().late, 1U);
-  end(
-      "cut-late", [](TryEnd&) {}, Lost::kCut);
+  expect_loss(
+      "cut-late", [](TryEnd&) {}, Lost::kTerminated);
   EXPECT_EQ(ledger.Total().late, 0U);
 }
 
-TEST(Ledger, OneCircuitRefusedThreeTimesRunningIsAWaste) {
+TEST(Ledger, ReportsWasteForCircuitRefusedThreeTimesInARow) {
   Ledger ledger(1);
   ledger.OnCircuitRefused(0, 0, "ds/1/0");
   ledger.OnCircuitRefused(100'000, 0, "ds/1/0");
   ledger.OnCircuitUsed(0, "ds/1/0");
   ledger.OnCircuitRefused(200'000, 0, "ds/1/0");
   ledger.OnCircuitRefused(300'000, 0, "ds/1/0");
-  ledger.OnCircuitRefused(2'000'000, 0, "ds/1/0");  // a pause between
+  ledger.OnCircuitRefused(2'000'000, 0, "ds/1/0");  // after a longer gap
   EXPECT_EQ(ledger.wasted(), 0U);
   EXPECT_EQ(ledger.most_running(), 3U);
   ledger.OnCircuitRefused(2'100'000, 0, "ds/1/0");
@@ -228,7 +231,7 @@
   EXPECT_EQ(ledger.wasted(), 1U);
 }
 
-TEST(Ledger, AFreeGroupOrAHealthyExchangeThatIsLeftAloneIsAWaste) {
+TEST(Ledger, ReportsWasteForIdleGroupAndAvoidedExchange) {
   TryEnd refused;
   refused.how = "refused";
   refused.from = 0;
@@ -236,7 +239,7 @@
   refused.direct = refused.healthy = true;
   Ledger idle(1);
   for (int i = 0; i < 60; ++i) idle.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
-  EXPECT_EQ(idle.wasted(), 1U);  // the group, once; the exchange not yet
+  EXPECT_EQ(idle.wasted(), 1U);  // the idle group once; the exchange does not count as avoided yet
   for (int i = 60; i < 120; ++i) idle.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
   EXPECT_EQ(idle.wasted(), 2U);
   Ledger used(1);
@@ -245,14 +248,14 @@
     if (i % 15 == 0) used.OnSetUp(static_cast<TimeUs>(i) * 100'000, 0, 1, 1);
   }
   EXPECT_EQ(used.wasted(), 0U);
-  Ledger sick(1);
+  Ledger unhealthy(1);
   refused.healthy = false;
-  for (int i = 0; i < 60; ++i) sick.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
-  EXPECT_EQ(sick.wasted(), 0U);
+  for (int i = 0; i < 60; ++i) unhealthy.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
+  EXPECT_EQ(unhealthy.wasted(), 0U);
 }
 
-// A whole day through trace, ledger and bound, for the module and each baseline on the same seed.
-TEST(Accounts, OfADayAreExactAndNoDeciderServesMoreThanWasWithinReach) {
+// Plays a whole day through trace, ledger and bound, for the decision module and each baseline with the same seed.
+TEST(Accounts, AreExactAndServedWorthIsWithinBound) {
   for (const std::string& name : lab::DeciderNames()) {
     PlayedDay day(R"({"seed": 21, "length_ms": 16000, "settle_ms": 8000,
       "fleet": {"exchanges": 5, "edges": 5, "zones": 2, "circuits": 4, "lines": 200, "unlinked": [[0, 3]], "near_us": 500, "far_us": 3000},
