--- a/src/mgcp/transactions.cpp
+++ b/src/mgcp/transactions.cpp
@@ -41,7 +41,7 @@
 
 // Called before a datagram is queued. Datagrams from unknown hosts are dropped here, so that they use no history, no
 // round-trip estimate and no place in a queue that would delay a gateway's datagrams.
-bool Transactions::Wants(const Address& from, std::string_view bytes) {
+bool Transactions::ShouldReceive(const Address& from, std::string_view bytes) {
   if (peer_filter_.IsKnown(from)) return true;
   const char first = bytes.empty() ? '\0' : bytes.front();
   if (first >= '0' && first <= '9') {
@@ -152,7 +152,7 @@
   // The response may already be in the local event queue, so the time-out is extended by the delay of that queue.
   // Otherwise an overloaded call agent retransmits its commands, receives each response again and becomes more
   // overloaded.
-  pending.queue_allowance = runtime_->Backlog();
+  pending.queue_allowance = runtime_->QueueDelay();
   const auto wait = static_cast<TimeUs>(static_cast<double>(pending.timeout) * jitter) + pending.queue_allowance;
   pending.timer = runtime_->StartTimer(wait, [this, transaction] { OnRetransmissionTimer(transaction); });
 }
@@ -167,7 +167,7 @@
     return CompleteTransaction(transaction, Ending::kNoAnswer, nullptr);
   }
   // The queue has grown since the timer was started.
-  if (runtime_->Backlog() > pending.queue_allowance + pending.timeout / 2) {
+  if (runtime_->QueueDelay() > pending.queue_allowance + pending.timeout / 2) {
     ++counters_.postponed;
     return StartRetransmissionTimer(transaction, pending);
   }
--- a/src/mgcp/transactions.h
+++ b/src/mgcp/transactions.h
@@ -58,7 +58,7 @@
 };
 
 // Sends and receives MGCP messages on one UDP port.
-class Transactions : public core::DatagramSink {
+class Transactions : public core::DatagramHandler {
  public:
   using OnAnswer = std::function<void(const Answered&)>;
   // A command to send.
@@ -115,7 +115,7 @@
   void RespondProvisionally(CommandId command);
 
   void OnDatagram(const Address& from, std::string_view bytes) override;
-  bool Wants(const Address& from, std::string_view bytes) override;
+  bool ShouldReceive(const Address& from, std::string_view bytes) override;
 
   const TransactionCounters& counters() const { return counters_; }
   const StrangerCounters& strangers() const { return unknown_hosts_; }
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -15,7 +15,7 @@
 const Address kAgent{0x7f000001, 2727}, kGateway{0x7f000002, 2427};
 
 // The gateway's side of the wire: records the datagrams received and sends raw text.
-class GatewayStub final : public core::DatagramSink {
+class GatewayStub final : public core::DatagramHandler {
  public:
   explicit GatewayStub(sim::VirtualRuntime* runtime) : port(runtime->OpenPort(kGateway, this)) {}
   void OnDatagram(const Address&, std::string_view bytes) override { received.emplace_back(bytes); }
