--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -22,25 +22,25 @@
 
 namespace {
 
-// Findings of one trial that are printed whole.
-constexpr std::size_t kMostShown = 6;
+// Violations of one trial that are printed in full.
+constexpr std::size_t kMaxViolationsShown = 6;
 
-struct Played {
-  Script script;
-  std::optional<TrialResult> result;  // nothing: it could not be run
+struct TrialRun {
+  Schedule schedule;
+  std::optional<TrialResult> result;  // empty if the trial could not be run
   std::string error;
 };
 
-bool Failed(const Played& played) { return !played.result || !played.result->verdict.findings.empty(); }
+bool Failed(const TrialRun& run) { return !run.result || !run.result->verdict.violations.empty(); }
 
-std::optional<DrawOptions> OptionsOf(const SoakRun& options) {
-  DrawOptions draw;
+std::optional<GeneratorOptions> ParseFaultKinds(const SoakRun& options) {
+  GeneratorOptions generator_options;
   const auto add = [](const std::vector<std::string>& names, std::vector<FaultKind>* kinds) {
     for (const std::string& name : names) {
-      const auto kind = FaultNamed(name);
+      const auto kind = ParseFaultKind(name);
       if (!kind) {
-        std::cerr << "croftrun: no kind of fault is called '" << name << "'; there are:";
-        for (std::size_t i = 0; i < kFaultKinds; ++i) std::cerr << " " << NameOf(static_cast<FaultKind>(i));
+        std::cerr << "croftrun: unknown kind of fault '" << name << "'; known kinds:";
+        for (std::size_t i = 0; i < kFaultKindCount; ++i) std::cerr << " " << NameOf(static_cast<FaultKind>(i));
         std::cerr << "\n";
         return false;
       }
@@ -48,151 +48,159 @@
     }
     return true;
   };
-  if (!add(options.only, &draw.only) || !add(options.without, &draw.without)) return std::nullopt;
-  return draw;
+  if (!add(options.only, &generator_options.only) || !add(options.without, &generator_options.without))
+    return std::nullopt;
+  return generator_options;
 }
 
-Played PlayScript(const Script& script, const SoakRun& options, int slot) {
-  Played played;
-  played.script = script;
+TrialRun RunScheduledTrial(const Schedule& schedule, const SoakRun& options, int slot) {
+  TrialRun run;
+  run.schedule = schedule;
   try {
-    played.result = RunTrial(script, {.program = options.edge_program,
-                                      .folder = options.folder + "/seed-" + std::to_string(script.seed),
-                                      .slot = slot,
-                                      .most_megabytes = options.most_megabytes});
+    run.result = RunTrial(schedule, {.program = options.edge_program,
+                                     .folder = options.folder + "/seed-" + std::to_string(schedule.seed),
+                                     .slot = slot,
+                                     .max_megabytes = options.most_megabytes});
   } catch (const std::exception& error) {
-    played.error = error.what();
+    run.error = error.what();
   }
-  return played;
+  return run;
 }
 
-std::string LineOf(const Played& played) {
-  std::string line = "seed " + std::to_string(played.script.seed) + ": ";
-  if (!played.result) return line + "could not be run: " + played.error;
-  const Verdict& verdict = played.result->verdict;
+std::string FormatTrialLine(const TrialRun& run) {
+  std::string line = "seed " + std::to_string(run.schedule.seed) + ": ";
+  if (!run.result) return line + "could not be run: " + run.error;
+  const Verdict& verdict = run.result->verdict;
   char figures[200];
   std::snprintf(
       figures, sizeof(figures),
-      "%d softswitches, %d exchanges, %zu faults, %zu calls, %.0f%% stood, %zu cut needlessly, ",
-      played.script.softswitches, played.script.exchanges, played.script.faults.size(), verdict.offered,
+      "%d softswitches, %d exchanges, %zu faults, %zu calls, %.0f%% answered, %zu disconnected needlessly, ",
+      run.schedule.softswitches, run.schedule.exchanges, run.schedule.faults.size(), verdict.offered,
       verdict.offered == 0 ? 0.0 : 100.0 * static_cast<double>(verdict.answered) / static_cast<double>(verdict.offered),
-      verdict.needless_cuts);
+      verdict.needless_disconnects);
   line += figures;
-  if (verdict.findings.empty()) return line + "nothing broken";
-  std::map<std::string_view, int> broken;
-  for (const Finding& finding : verdict.findings) ++broken[NameOf(finding.rule)];
+  if (verdict.violations.empty()) return line + "no violations";
+  std::map<std::string_view, int> violation_counts;
+  for (const Violation& violation : verdict.violations) ++violation_counts[NameOf(violation.check)];
   line += "BROKEN";
-  for (const auto& [rule, count] : broken) line += " " + std::string(rule) + " " + std::to_string(count);
+  for (const auto& [check, count] : violation_counts) line += " " + std::string(check) + " " + std::to_string(count);
   return line;
 }
 
-void ShowFindings(const Played& played) {
-  if (!played.result) return;
-  const auto& findings = played.result->verdict.findings;
-  for (std::size_t i = 0; i < std::min(kMostShown, findings.size()); ++i) {
-    const Finding& finding = findings[i];
-    std::printf("  %.3f %s: %s %s\n", static_cast<double>(finding.at - played.result->started) / 1e6,
-                std::string(NameOf(finding.rule)).c_str(), finding.call.c_str(), finding.text.c_str());
+void PrintViolations(const TrialRun& run) {
+  if (!run.result) return;
+  const auto& violations = run.result->verdict.violations;
+  for (std::size_t i = 0; i < std::min(kMaxViolationsShown, violations.size()); ++i) {
+    const Violation& violation = violations[i];
+    std::printf("  %.3f %s: %s %s\n", static_cast<double>(violation.at - run.result->start_time) / 1e6,
+                std::string(NameOf(violation.check)).c_str(), violation.call.c_str(), violation.text.c_str());
   }
-  std::set<Rule> shown;
-  for (const Finding& finding : findings) {
-    if (finding.call.empty() || !shown.insert(finding.rule).second) continue;
-    std::printf("  timeline of call %s (%s)\n", finding.call.c_str(), std::string(NameOf(finding.rule)).c_str());
-    for (const std::string& line : TimelineOf(*played.result, finding.call)) std::printf("    %s\n", line.c_str());
+  std::set<Check> shown;
+  for (const Violation& violation : violations) {
+    if (violation.call.empty() || !shown.insert(violation.check).second) continue;
+    std::printf("  timeline of call %s (%s)\n", violation.call.c_str(), std::string(NameOf(violation.check)).c_str());
+    for (const std::string& line : TimelineOf(*run.result, violation.call)) std::printf("    %s\n", line.c_str());
   }
 }
 
-// Leaves out faults as long as the same rule stays broken.
-Script Shrink(const Played& failed, const SoakRun& options, int slot) {
-  Script script = failed.script;
-  std::set<Rule> rules;
-  for (const Finding& finding : failed.result->verdict.findings) rules.insert(finding.rule);
-  for (std::size_t i = 0; i < script.faults.size();) {
-    Script fewer = script;
-    fewer.faults.erase(fewer.faults.begin() + static_cast<std::ptrdiff_t>(i));
-    const Played played = PlayScript(fewer, options, slot);
+// Removes faults from a schedule as long as one of the violated checks still fails.
+Schedule ShrinkSchedule(const TrialRun& failed, const SoakRun& options, int slot) {
+  Schedule schedule = failed.schedule;
+  std::set<Check> checks;
+  for (const Violation& violation : failed.result->verdict.violations) checks.insert(violation.check);
+  for (std::size_t i = 0; i < schedule.faults.size();) {
+    Schedule candidate = schedule;
+    candidate.faults.erase(candidate.faults.begin() + static_cast<std::ptrdiff_t>(i));
+    const TrialRun run = RunScheduledTrial(candidate, options, slot);
     const bool same =
-        played.result && std::any_of(played.result->verdict.findings.begin(), played.result->verdict.findings.end(),
-                                     [&](const Finding& finding) { return rules.count(finding.rule) > 0; });
+        run.result && std::any_of(run.result->verdict.violations.begin(), run.result->verdict.violations.end(),
+                                  [&](const Violation& violation) { return checks.count(violation.check) > 0; });
     if (same) {
-      script = fewer;
+      schedule = candidate;
     } else {
       ++i;
     }
   }
-  return script;
+  return schedule;
 }
 
 struct Summary {
-  std::array<std::size_t, kRules> checked{}, broken{};
-  std::map<std::string, int> faults, failed_with;
+  std::array<std::size_t, kCheckCount> checked{}, violations{};
+  std::map<std::string, int> faults, failed_trials_with;
   int failed = 0;
-  std::size_t offered = 0, answered = 0, cuts = 0, connections = 0, probes = 0;
+  std::size_t offered = 0, answered = 0, needless_disconnects = 0, connections = 0, probes = 0;
 };
 
-Summary Summarize(const std::vector<Played>& trials) {
+Summary Summarize(const std::vector<TrialRun>& trials) {
   Summary summary;
-  for (const Played& played : trials) {
-    summary.failed += Failed(played) ? 1 : 0;
+  for (const TrialRun& run : trials) {
+    summary.failed += Failed(run) ? 1 : 0;
     std::set<std::string> kinds;
-    for (const Fault& fault : played.script.faults) {
+    for (const Fault& fault : run.schedule.faults) {
       ++summary.faults[std::string(NameOf(fault.kind))];
       kinds.insert(std::string(NameOf(fault.kind)));
     }
-    if (Failed(played)) {
-      for (const std::string& kind : kinds) ++summary.failed_with[kind];
+    if (Failed(run)) {
+      for (const std::string& kind : kinds) ++summary.failed_trials_with[kind];
     }
-    if (!played.result) continue;
-    const Verdict& verdict = played.result->verdict;
-    for (std::size_t i = 0; i < kRules; ++i) summary.checked[i] += verdict.checked[i];
-    for (const Finding& finding : verdict.findings) ++summary.broken[static_cast<std::size_t>(finding.rule)];
+    if (!run.result) continue;
+    const Verdict& verdict = run.result->verdict;
+    for (std::size_t i = 0; i < kCheckCount; ++i) summary.checked[i] += verdict.checked[i];
+    for (const Violation& violation : verdict.violations)
+      ++summary.violations[static_cast<std::size_t>(violation.check)];
     summary.offered += verdict.offered;
     summary.answered += verdict.answered;
-    summary.cuts += verdict.needless_cuts;
+    summary.needless_disconnects += verdict.needless_disconnects;
     summary.connections += verdict.connections;
     summary.probes += verdict.probes;
   }
   return summary;
 }
 
-void ShowSummary(const Summary& summary, std::size_t trials) {
+void PrintSummary(const Summary& summary, std::size_t trials) {
   std::printf(
-      "%zu trials, %d with something broken; %zu calls, %zu stood, %zu cut needlessly; %zu connections to exchanges, "
+      "%zu trials, %d with violations; %zu calls, %zu answered, %zu disconnected needlessly; %zu connections to "
+      "exchanges, "
       "%zu probes\n",
-      trials, summary.failed, summary.offered, summary.answered, summary.cuts, summary.connections, summary.probes);
-  for (std::size_t i = 0; i < kRules; ++i) {
-    const std::string name(NameOf(static_cast<Rule>(i)));
+      trials, summary.failed, summary.offered, summary.answered, summary.needless_disconnects, summary.connections,
+      summary.probes);
+  for (std::size_t i = 0; i < kCheckCount; ++i) {
+    const std::string name(NameOf(static_cast<Check>(i)));
     if (summary.checked[i] == 0) {
       std::printf("  %-22s unchecked\n", name.c_str());
     } else {
-      std::printf("  %-22s checked %8zu, broken %zu\n", name.c_str(), summary.checked[i], summary.broken[i]);
+      std::printf("  %-22s checked %8zu, broken %zu\n", name.c_str(), summary.checked[i], summary.violations[i]);
     }
   }
   for (const auto& [kind, count] : summary.faults) {
-    const auto failed = summary.failed_with.find(kind);
+    const auto failed = summary.failed_trials_with.find(kind);
     std::printf("  fault %-18s played %4d, in %d failed trials\n", kind.c_str(), count,
-                failed == summary.failed_with.end() ? 0 : failed->second);
+                failed == summary.failed_trials_with.end() ? 0 : failed->second);
   }
 }
 
-json JsonOf(const std::vector<Played>& trials, const Summary& summary) {
-  json out = {{"trials", json::array()},      {"failed", summary.failed},      {"offered", summary.offered},
-              {"answered", summary.answered}, {"needless_cuts", summary.cuts}, {"connections", summary.connections},
+json ToJson(const std::vector<TrialRun>& trials, const Summary& summary) {
+  json out = {{"trials", json::array()},
+              {"failed", summary.failed},
+              {"offered", summary.offered},
+              {"answered", summary.answered},
+              {"needless_cuts", summary.needless_disconnects},
+              {"connections", summary.connections},
               {"probes", summary.probes}};
-  for (std::size_t i = 0; i < kRules; ++i) {
-    out["rules"][std::string(NameOf(static_cast<Rule>(i)))] = {{"checked", summary.checked[i]},
-                                                               {"broken", summary.broken[i]}};
+  for (std::size_t i = 0; i < kCheckCount; ++i) {
+    out["rules"][std::string(NameOf(static_cast<Check>(i)))] = {{"checked", summary.checked[i]},
+                                                                {"broken", summary.violations[i]}};
   }
-  for (const Played& played : trials) {
+  for (const TrialRun& run : trials) {
     json trial = {
-        {"seed", played.script.seed}, {"error", played.error}, {"faults", json::array()}, {"findings", json::array()}};
-    for (const Fault& fault : played.script.faults) trial["faults"].push_back(lab::soak::ToString(fault));
-    if (played.result) {
-      for (const Finding& finding : played.result->verdict.findings) {
-        trial["findings"].push_back({{"rule", NameOf(finding.rule)},
-                                     {"at_us", finding.at - played.result->started},
-                                     {"call", finding.call},
-                                     {"text", finding.text}});
+        {"seed", run.schedule.seed}, {"error", run.error}, {"faults", json::array()}, {"findings", json::array()}};
+    for (const Fault& fault : run.schedule.faults) trial["faults"].push_back(lab::soak::ToString(fault));
+    if (run.result) {
+      for (const Violation& violation : run.result->verdict.violations) {
+        trial["findings"].push_back({{"rule", NameOf(violation.check)},
+                                     {"at_us", violation.at - run.result->start_time},
+                                     {"call", violation.call},
+                                     {"text", violation.text}});
       }
     }
     out["trials"].push_back(trial);
@@ -203,23 +211,24 @@
 }  // namespace
 
 int RunSoak(const SoakRun& options) {
-  const auto draw = OptionsOf(options);
-  if (!draw) return kUsage;
-  std::vector<Played> trials(static_cast<std::size_t>(options.count));
+  const auto generator_options = ParseFaultKinds(options);
+  if (!generator_options) return kUsage;
+  std::vector<TrialRun> trials(static_cast<std::size_t>(options.count));
   std::atomic<int> next{0};
   std::mutex output;
   const auto work = [&](int slot) {
     for (int i = next++; i < options.count; i = next++) {
-      const Script script = DrawScript(options.first_seed + static_cast<std::uint64_t>(i), *draw);
-      Played& played = trials[static_cast<std::size_t>(i)];
-      played = PlayScript(script, options, slot);
+      const Schedule schedule =
+          GenerateSchedule(options.first_seed + static_cast<std::uint64_t>(i), *generator_options);
+      TrialRun& run = trials[static_cast<std::size_t>(i)];
+      run = RunScheduledTrial(schedule, options, slot);
       const std::lock_guard<std::mutex> lock(output);
       if (options.quiet || options.json) continue;
-      std::printf("%s\n", LineOf(played).c_str());
-      if (options.show_script || Failed(played)) {
-        for (const Fault& fault : script.faults) std::printf("  %s\n", lab::soak::ToString(fault).c_str());
+      std::printf("%s\n", FormatTrialLine(run).c_str());
+      if (options.show_script || Failed(run)) {
+        for (const Fault& fault : schedule.faults) std::printf("  %s\n", lab::soak::ToString(fault).c_str());
       }
-      if (Failed(played)) ShowFindings(played);
+      if (Failed(run)) PrintViolations(run);
       std::fflush(stdout);
     }
   };
@@ -228,18 +237,18 @@
   for (int slot = 0; slot < options.jobs; ++slot) workers.emplace_back(work, options.first_slot + slot);
   for (std::thread& worker : workers) worker.join();
   if (options.shrink) {
-    for (const Played& played : trials) {
-      if (!played.result || !Failed(played)) continue;
-      const Script fewest = Shrink(played, options, 0);
-      std::printf("seed %llu still fails with:\n", static_cast<unsigned long long>(fewest.seed));
-      for (const Fault& fault : fewest.faults) std::printf("  %s\n", lab::soak::ToString(fault).c_str());
+    for (const TrialRun& run : trials) {
+      if (!run.result || !Failed(run)) continue;
+      const Schedule minimal = ShrinkSchedule(run, options, 0);
+      std::printf("seed %llu still fails with:\n", static_cast<unsigned long long>(minimal.seed));
+      for (const Fault& fault : minimal.faults) std::printf("  %s\n", lab::soak::ToString(fault).c_str());
     }
   }
   const Summary summary = Summarize(trials);
   if (options.json) {
-    std::cout << JsonOf(trials, summary).dump(2) << "\n";
+    std::cout << ToJson(trials, summary).dump(2) << "\n";
   } else {
-    ShowSummary(summary, trials.size());
+    PrintSummary(summary, trials.size());
   }
   return summary.failed == 0 ? kDone : kVerdictAgainst;
 }
--- a/src/cli/soak.h
+++ b/src/cli/soak.h
@@ -1,4 +1,4 @@
-// `croftrun lab soak`: seeded trials of a handful of real softswitch processes under faults.
+// `croftrun lab soak`: seeded trials of a few real softswitch processes under fault injection.
 #ifndef CROFTRUN_CLI_SOAK_H_
 #define CROFTRUN_CLI_SOAK_H_
 
@@ -8,19 +8,20 @@
 
 namespace croftrun::cli {
 
+// The command-line options of `croftrun lab soak`.
 struct SoakRun {
   std::string edge_program, folder;
   std::uint64_t first_seed = 1;
   int count = 10;
-  int jobs = 2;                            // trials at the same time
-  int first_slot = 0;                      // the first of their address ranges
-  int most_megabytes = 64;                 // of a softswitch
-  std::vector<std::string> only, without;  // kinds of faults
+  int jobs = 2;                            // trials that run in parallel
+  int first_slot = 0;                      // first address range to use
+  int most_megabytes = 64;                 // memory limit of a softswitch
+  std::vector<std::string> only, without;  // kinds of faults to inject, or to leave out
   bool shrink = false, json = false, quiet = false, show_script = false;
 };
 
-// Plays the seeds and prints a line for each, findings with the timeline of the first call, and a summary by rule and
-// by kind of fault. Returns an ExitCode of cli/commands.h.
+// Runs a trial for each seed. Prints a line for each trial, its violations with a timeline of the first call of each
+// violated check, and a summary by check and by kind of fault. Returns an ExitCode of cli/commands.h.
 int RunSoak(const SoakRun& options);
 
 }  // namespace croftrun::cli
--- a/src/lab/soak/client_stand_in.h
+++ b/src/lab/soak/client_stand_in.h
@@ -1,5 +1,5 @@
-// The callers of one softswitch in a soak trial: a few hosts that place calls, hear their ends, give up, leave or come
-// back.
+// The callers of one softswitch in a soak trial: a few hosts that place, cancel, release and redial calls, are notified
+// of the ends of their calls, and disconnect and reconnect.
 #ifndef CROFTRUN_LAB_SOAK_CLIENT_STAND_IN_H_
 #define CROFTRUN_LAB_SOAK_CLIENT_STAND_IN_H_
 
@@ -20,66 +20,72 @@
 
 namespace croftrun::lab::soak {
 
+// Behaviour of the callers of one softswitch.
 struct ClientTraits {
   double calls_per_s = 8.0;
   std::vector<std::string> classes;
-  std::vector<TimeUs> waits;  // by class: how long a caller waits for the answer
+  std::vector<TimeUs> caller_timeouts;  // by class of call: how long a caller waits for the answer
   int hosts = 2;
-  int most_connections = 4;  // of one host
-  double cancels = 0.05;     // shares of the calls: taken back early
-  double leaves = 0.03;      // the connection is closed under them
-  double in_pieces = 0.05;   // written in two pieces
-  double redials = 0.3;      // refused ones come again
-  double releases = 0.15;    // standing ones are released by the caller
-  TimeUs closes_idle_after = 4'000'000;
-  bool tests_from_same_host = true;  // the front tests from a host of the callers
+  int max_connections = 4;          // of each host
+  double cancel_share = 0.05;       // share of the calls that are cancelled early
+  double disconnect_share = 0.03;   // share of the calls whose connection the caller closes early
+  double split_write_share = 0.05;  // share of the set-ups that are written in two pieces
+  double redial_share = 0.3;        // share of the refused calls that are redialled
+  double release_share = 0.15;      // share of the established calls that the caller releases
+  TimeUs idle_close_timeout = 4'000'000;
+  bool probes_from_caller_host = true;  // the readiness probe comes from a host of the callers
 };
 
+// Stand-in of all callers of one softswitch.
 class ClientStandIn {
  public:
-  // `hosts_from`: the first host's address, the others follow. Calls go to exchanges 0 to `destinations` less one, but
-  // `own`.
-  ClientStandIn(boost::asio::io_context* context, core::Runtime* runtime, TrafficRecord* record, std::uint64_t seed,
+  // `hosts_from` is the address of the first host; the others follow. Calls go to the exchange numbers 0 to
+  // `destinations` - 1, except the softswitch's own.
+  ClientStandIn(boost::asio::io_context* context, core::Runtime* runtime, EventLog* event_log, std::uint64_t seed,
                 const ClientTraits& traits, int softswitch, const core::Address& to, std::uint32_t hosts_from,
                 int destinations);
   ~ClientStandIn();
 
-  // Tests the softswitch until a test is passed, then calls `ready` once.
+  // Probes the softswitch until a probe succeeds, then calls `ready` once.
   void WaitForReady(const std::function<void()>& ready);
+  // Starts placing calls at the rate of the traits.
   void StartCalls();
-  // No new calls; what stands may end.
+  // Places no more calls; established calls may end.
   void StopCalls() { calling_ = false; }
-  // Set-ups go out on open connections only, without a pause, until `stop` (after SIGTERM).
-  void KeepBusy(bool busy);
-  // The process is gone: its standing calls are announced to the next one once that is ready.
-  void OnProcessGone();
-  void AnnounceStanding();
-  // So many times the usual rate, from so many more connections.
-  void SetCrowd(double factor) { crowd_ = factor; }
-  void BadClient(int kind);
-  std::size_t standing() const { return standing_.size(); }
+  // Starts or stops sending set-ups in quick succession, on open connections only (after SIGTERM).
+  void SetContinuousLoad(bool enabled);
+  // Forgets the pending calls and the connections of a process that has ended; the established calls are kept for
+  // AnnounceEstablishedCalls.
+  void OnProcessEnded();
+  // Announces the established calls to a restarted process.
+  void AnnounceEstablishedCalls();
+  // Multiplies the call rate and the number of connections by `factor`.
+  void SetCrowdFactor(double factor) { crowd_factor_ = factor; }
+  // Connects a client that misbehaves in one of several ways, selected by `kind`.
+  void ConnectBadClient(int kind);
+  std::size_t established_calls() const { return established_.size(); }
   ClientTraits& traits() { return traits_; }
 
  private:
   struct Connection;
   struct Host;
-  struct OpenCall {
+  struct PendingCall {
     Connection* connection = nullptr;
     int call_class = 0;
-    TimeUs sent_at = 0;  // 0: not whole yet
+    TimeUs sent_at = 0;  // 0 while part of the set-up is still to be written
     std::string line;
-    bool resent = false;  // once, as it crossed the end of its connection
+    bool resent = false;  // after a race with the close of its connection, at most once
     std::unique_ptr<core::Timer> cancel;
   };
-  struct StandingCall {
+  struct EstablishedCall {
     std::uint32_t host = 0;
     int exchange_number = 0;
-    std::string uid;  // where it stands, as the description names it
+    std::string uid;  // of the exchange that holds the call, taken from the description
     std::unique_ptr<core::Timer> release;
   };
-  struct BadConnection;
+  struct BadClientConnection;
 
-  void NextCall();
+  void ScheduleNextCall();
   void PlaceCall(int host);
   void SendSetUp(Connection* connection);
   Connection* ConnectionFor(int host);
@@ -88,35 +94,36 @@
   void OnAnswer(const platform::Message& message, Connection* connection);
   void OnRelease(const platform::Message& message, Connection* connection);
   void OnEnd(Connection* connection, ConnectionEnd end);
-  // A set-up that crossed the end of its connection goes once more on a new one; false where it did not cross it.
-  bool Resend(const std::string& id, OpenCall* call, std::uint32_t host);
+  // Sends a set-up once more, on a new connection, if it was sent just before its connection closed. Returns false
+  // otherwise.
+  bool Resend(const std::string& id, PendingCall* call, std::uint32_t host);
   void Cancel(const std::string& id, bool close_connection);
-  void Sweep();
-  void Busy();
-  void Test(const std::function<void(bool)>& done);
+  void ScheduleSweep();
+  void ScheduleContinuousCall();
+  void ProbeSoftswitch(const std::function<void(bool)>& done);
   std::string NewId();
-  void Note(EventKind kind, std::uint32_t host, const std::string& call, std::int64_t value = 0,
-            const std::string& text = "");
-  double Unit() { return std::uniform_real_distribution<double>(0.0, 1.0)(random_); }
+  void LogEvent(EventKind kind, std::uint32_t host, const std::string& call, std::int64_t value = 0,
+                const std::string& text = "");
+  double DrawUniform() { return std::uniform_real_distribution<double>(0.0, 1.0)(random_); }
 
   boost::asio::io_context* context_;
   core::Runtime* runtime_;
-  TrafficRecord* record_;
+  EventLog* event_log_;
   std::mt19937_64 random_;
   ClientTraits traits_;
   int softswitch_;
-  core::Address to_;
+  core::Address softswitch_address_;
   std::uint32_t hosts_from_;
   int destinations_;
-  bool calling_ = false, busy_ = false;
-  double crowd_ = 1.0;
-  int next_bad_ = 1;
+  bool calling_ = false, continuous_load_ = false;
+  double crowd_factor_ = 1.0;
+  int next_bad_client_ = 1;
   std::list<std::unique_ptr<Connection>> connections_;
-  std::map<std::string, OpenCall> open_;
-  std::map<std::string, StandingCall> standing_;
-  std::list<std::unique_ptr<BadConnection>> bad_;
-  std::unique_ptr<LineClient> test_;
-  core::Timer next_call_, sweep_, busy_timer_, test_timer_;
+  std::map<std::string, PendingCall> pending_;
+  std::map<std::string, EstablishedCall> established_;
+  std::list<std::unique_ptr<BadClientConnection>> bad_clients_;
+  std::unique_ptr<LineClient> probe_;
+  core::Timer next_call_timer_, sweep_timer_, continuous_timer_, probe_timer_;
 };
 
 }  // namespace croftrun::lab::soak
--- a/src/lab/soak/discovery_stand_in.cpp
+++ b/src/lab/soak/discovery_stand_in.cpp
@@ -11,61 +11,61 @@
 
 namespace {
 
-constexpr TimeUs kCommentEvery = 1'000'000;
-constexpr std::string_view kLastEvent = "Last-Event-ID: ";
+constexpr TimeUs kCommentInterval = 1'000'000;
+constexpr std::string_view kLastEventHeader = "Last-Event-ID: ";
 
-json TargetOf(const Listing& listing) {
-  return {{"uid", listing.uid},
-          {"endpoint", core::ToString(listing.address)},
+json TargetJson(const DirectoryEntry& entry) {
+  return {{"uid", entry.uid},
+          {"endpoint", core::ToString(entry.address)},
           {"az", "east"},
           {"model", "std"},
-          {"pod_group", listing.number},
-          {"state", listing.state},
+          {"pod_group", entry.number},
+          {"state", entry.state},
           {"capacity_hint", 1},
-          {"boot_ms", listing.boot_ms}};
+          {"boot_ms", entry.boot_ms}};
 }
 
-json EventOf(std::uint64_t number, bool whole, const json& targets) {
-  return {{"rev", number}, {"pool", {{"rev", number}, {"all", whole}, {"targets", targets}}}};
+json EventJson(std::uint64_t number, bool full, const json& targets) {
+  return {{"rev", number}, {"pool", {{"rev", number}, {"all", full}, {"targets", targets}}}};
 }
 
 }  // namespace
 
-// One request of the softswitch and its answer, which does not end.
+// A request of the softswitch and its unbounded response.
 class DiscoveryStandIn::Watch final : public core::StreamSink {
  public:
   Watch(DiscoveryStandIn* owner, std::unique_ptr<core::Stream> accepted) : stream(std::move(accepted)), owner_(owner) {}
   void OnBytes(std::string_view bytes) override {
-    if (asked) return;
+    if (request_read) return;
     request_.append(bytes);
     if (request_.find("\r\n\r\n") == std::string::npos) return;
-    asked = true;
-    if (const auto at = request_.find(kLastEvent); at != std::string::npos) {
-      const char* const digits = request_.data() + at + kLastEvent.size();
-      std::from_chars(digits, request_.data() + request_.size(), last);
+    request_read = true;
+    if (const auto at = request_.find(kLastEventHeader); at != std::string::npos) {
+      const char* const digits = request_.data() + at + kLastEventHeader.size();
+      std::from_chars(digits, request_.data() + request_.size(), last_event);
     }
-    owner_->WriteTo(this);
+    owner_->WriteEvents(this);
   }
   void OnEnd(core::StreamEnd) override {
     owner_->watches_.remove_if([this](const auto& watch) { return watch.get() == this; });
   }
   std::unique_ptr<core::Stream> stream;
-  bool asked = false, headed = false;
-  std::uint64_t last = 0;  // number of the last event that it has
+  bool request_read = false, response_started = false;
+  std::uint64_t last_event = 0;  // number of the last event that the softswitch has
 
  private:
   DiscoveryStandIn* owner_;
   std::string request_;
 };
 
-DiscoveryStandIn::DiscoveryStandIn(core::Runtime* runtime, TrafficRecord* record, int softswitch,
+DiscoveryStandIn::DiscoveryStandIn(core::Runtime* runtime, EventLog* event_log, int softswitch,
                                    const core::Address& listen)
     : runtime_(runtime),
-      record_(record),
+      event_log_(event_log),
       softswitch_(softswitch),
-      comment_(runtime),
+      comment_timer_(runtime),
       listener_(runtime->Listen(listen, this)) {
-  Comment();
+  ScheduleComment();
 }
 
 DiscoveryStandIn::~DiscoveryStandIn() = default;
@@ -75,58 +75,58 @@
   return watches_.back().get();
 }
 
-void DiscoveryStandIn::Comment() {
-  comment_.Start(kCommentEvery, [this] {
+void DiscoveryStandIn::ScheduleComment() {
+  comment_timer_.Start(kCommentInterval, [this] {
     for (const auto& watch : watches_) {
-      if (!silent_ && watch->headed) watch->stream->Write(": here\n\n");
+      if (!silent_ && watch->response_started) watch->stream->Write(": here\n\n");
     }
-    Comment();
+    ScheduleComment();
   });
 }
 
 void DiscoveryStandIn::SetSilent(bool silent) {
   silent_ = silent;
-  // A watch from before stays silent: what it missed is told to who asks again.
+  // Existing watches stay silent: the softswitch gets the events that it missed with its next request.
   if (!silent) return;
-  for (const auto& watch : watches_) watch->asked = watch->headed = false;
+  for (const auto& watch : watches_) watch->request_read = watch->response_started = false;
 }
 
-void DiscoveryStandIn::List(const Listing& listing) {
-  events_.push_back({events_.empty() ? 1 : events_.back().number + 1, listing});
-  if (listing.state != "Ready") {
-    record_->Note({.kind = EventKind::kDrainListed, .softswitch = softswitch_, .exchange = listing.instance});
+void DiscoveryStandIn::UpdateEntry(const DirectoryEntry& entry) {
+  events_.push_back({events_.empty() ? 1 : events_.back().number + 1, entry});
+  if (entry.state != "Ready") {
+    event_log_->Append({.kind = EventKind::kDrainListed, .softswitch = softswitch_, .exchange = entry.instance});
   }
   for (const auto& watch : watches_) {
-    if (watch->headed) WriteTo(watch.get());
+    if (watch->response_started) WriteEvents(watch.get());
   }
 }
 
-void DiscoveryStandIn::WriteTo(Watch* watch) {
+void DiscoveryStandIn::WriteEvents(Watch* watch) {
   if (silent_) return;
-  if (!watch->headed) watch->stream->Write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-  watch->headed = true;
+  if (!watch->response_started) watch->stream->Write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+  watch->response_started = true;
   for (const Event& event : events_) {
-    if (event.number <= watch->last) continue;
-    watch->last = event.number;
+    if (event.number <= watch->last_event) continue;
+    watch->last_event = event.number;
     watch->stream->Write("id: " + std::to_string(event.number) + "\ndata: " +
-                         EventOf(event.number, false, json::array({TargetOf(event.listing)})).dump() + "\n\n");
-    const bool drains = event.listing.state != "Ready";
-    if (!drains && event.listing.boot_ms == 0) continue;
-    record_->Note({.kind = drains ? EventKind::kDrainWritten : EventKind::kStartWritten,
-                   .softswitch = softswitch_,
-                   .exchange = event.listing.instance});
+                         EventJson(event.number, false, json::array({TargetJson(event.entry)})).dump() + "\n\n");
+    const bool draining = event.entry.state != "Ready";
+    if (!draining && event.entry.boot_ms == 0) continue;
+    event_log_->Append({.kind = draining ? EventKind::kDrainWritten : EventKind::kColdStartWritten,
+                        .softswitch = softswitch_,
+                        .exchange = event.entry.instance});
   }
 }
 
-json DiscoveryStandIn::Known() const {
-  std::map<std::string, Listing> present;
-  for (const Event& event : events_) present[event.listing.uid] = event.listing;
+json DiscoveryStandIn::KnownDirectory() const {
+  std::map<std::string, DirectoryEntry> present;
+  for (const Event& event : events_) present[event.entry.uid] = event.entry;
   json targets = json::array();
-  for (const auto& [uid, listing] : present) {
-    if (listing.state != "Gone") targets.push_back(TargetOf(listing));
+  for (const auto& [uid, entry] : present) {
+    if (entry.state != "Gone") targets.push_back(TargetJson(entry));
   }
   const std::uint64_t number = events_.empty() ? 0 : events_.back().number;
-  return {{"rev", number}, {"notices", json::array({EventOf(number, true, targets)})}};
+  return {{"rev", number}, {"notices", json::array({EventJson(number, true, targets)})}};
 }
 
 }  // namespace croftrun::lab::soak
--- a/src/lab/soak/discovery_stand_in.h
+++ b/src/lab/soak/discovery_stand_in.h
@@ -1,5 +1,5 @@
-// Service discovery as one softswitch of a soak trial sees it: numbered events over HTTP, a comment each second, silent
-// or unreachable when the script says so (unreachability is its proxy's).
+// Stand-in of the discovery service for one softswitch of a soak trial: numbered server-sent events over HTTP, and a
+// comment each second. It can be made silent; its fault proxy makes it unreachable.
 #ifndef CROFTRUN_LAB_SOAK_DISCOVERY_STAND_IN_H_
 #define CROFTRUN_LAB_SOAK_DISCOVERY_STAND_IN_H_
 
@@ -14,8 +14,8 @@
 
 namespace croftrun::lab::soak {
 
-// One exchange as discovery lists it.
-struct Listing {
+// The entry of an exchange in the discovery service.
+struct DirectoryEntry {
   std::string uid;
   core::Address address;
   int number = 0;
@@ -24,35 +24,36 @@
   std::int64_t boot_ms = 0;
 };
 
+// Serves the directory of exchanges to one softswitch.
 class DiscoveryStandIn final : public core::StreamAcceptor {
  public:
-  DiscoveryStandIn(core::Runtime* runtime, TrafficRecord* record, int softswitch, const core::Address& listen);
+  DiscoveryStandIn(core::Runtime* runtime, EventLog* event_log, int softswitch, const core::Address& listen);
   ~DiscoveryStandIn() override;
 
-  // Lists or changes one exchange: an event with the next number.
-  void List(const Listing& listing);
-  // Nothing is written on any watch, comments included; requests go unanswered.
+  // Adds or changes an entry, as the event with the next number.
+  void UpdateEntry(const DirectoryEntry& entry);
+  // While silent, nothing is written on any connection, not even comments, and requests are not answered.
   void SetSilent(bool silent);
-  // The value of `known` in a configuration that is written now.
-  nlohmann::json Known() const;
+  // The current directory, as the value of `known` in a configuration.
+  nlohmann::json KnownDirectory() const;
   core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override;
 
  private:
   class Watch;
   struct Event {
     std::uint64_t number = 0;
-    Listing listing;
+    DirectoryEntry entry;
   };
-  void WriteTo(Watch* watch);
-  void Comment();
+  void WriteEvents(Watch* watch);
+  void ScheduleComment();
 
   core::Runtime* runtime_;
-  TrafficRecord* record_;
+  EventLog* event_log_;
   int softswitch_;
   std::vector<Event> events_;
   std::list<std::unique_ptr<Watch>> watches_;
   bool silent_ = false;
-  core::Timer comment_;
+  core::Timer comment_timer_;
   std::unique_ptr<core::StreamListener> listener_;
 };
 
--- a/src/lab/soak/exchange_stand_in.h
+++ b/src/lab/soak/exchange_stand_in.h
@@ -1,5 +1,6 @@
-// An exchange of a soak trial: answers set-ups, holds calls for a while, tells their ends and the state of its groups,
-// and fails in the ways that a script asks for. It knows each softswitch by the address at which that one reaches it.
+// Stand-in of an exchange in a soak trial: it answers set-ups, ends calls after their holding time, reports the state
+// of its trunk groups, and fails as the schedule demands. It listens at a separate address for each softswitch, by
+// which it tells them apart.
 #ifndef CROFTRUN_LAB_SOAK_EXCHANGE_STAND_IN_H_
 #define CROFTRUN_LAB_SOAK_EXCHANGE_STAND_IN_H_
 
@@ -18,42 +19,45 @@
 
 namespace croftrun::lab::soak {
 
+// Behaviour of an exchange.
 struct ExchangeTraits {
-  TimeUs answer_after = 4'000;  // a set-up is answered so much later, on average
-  TimeUs hold_mean = 5'000'000;
-  int circuits = 30;           // of the group towards each softswitch
-  bool tells_gauges = true;    // the state of a group, when it changes
-  bool greets = true;          // and on each new connection
-  TimeUs reports_every = 0;    // and so often on the newest one; 0: not by the clock
-  double never_answers = 0.0;  // shares of the set-ups
-  double breaks = 0.0;         // the connection is closed under it
-  double spoils = 0.0;         // the answer cannot be read
-  double answers_twice = 0.0;
+  TimeUs mean_answer_delay = 4'000;  // mean time from a set-up to its answer
+  TimeUs mean_holding_time = 5'000'000;
+  int circuits = 30;                    // of the trunk group towards each softswitch
+  bool reports_circuits = true;         // reports the state of a group when it changes
+  bool reports_on_connect = true;       // reports also on each new connection
+  TimeUs report_interval = 0;           // reports also at this interval on the newest connection; 0: never
+  double no_answer_share = 0.0;         // share of the set-ups that are never answered
+  double close_share = 0.0;             // share whose connection is closed instead of an answer
+  double malformed_answer_share = 0.0;  // share whose answer is malformed
+  double duplicate_answer_share = 0.0;  // share whose answer is sent twice
 };
 
+// Stand-in of one exchange, which may be replaced by successive processes.
 class ExchangeStandIn {
  public:
-  // `instance` names the running machine in the record; `ways` are the proxies by softswitch, `listen` what is behind
-  // them.
-  ExchangeStandIn(core::Runtime* runtime, TrafficRecord* record, std::uint64_t seed, const ExchangeTraits& traits,
-                  std::vector<FaultProxy*> ways, const std::vector<core::Address>& listen);
+  // `proxies` are the fault proxies by softswitch, `listen` the addresses to which they connect.
+  ExchangeStandIn(core::Runtime* runtime, EventLog* event_log, std::uint64_t seed, const ExchangeTraits& traits,
+                  std::vector<FaultProxy*> proxies, const std::vector<core::Address>& listen);
   ~ExchangeStandIn();
 
+  // Number of the running process in the event log.
   int instance() const { return instance_; }
   void SetInstance(int instance) { instance_ = instance; }
   ExchangeTraits& traits() { return traits_; }
-  // Its calls are over and nothing is told; connections are the proxies' business. Another machine may take its place.
-  void Die();
-  // Nothing is written for so long, and what falls due waits; what arrives is noted when it arrives.
+  // Drops all calls and connections without notice, as a crash does. The fault proxies decide what becomes visible on
+  // the connections.
+  void LoseState();
+  // Sends nothing for `time` and defers answers and ends of calls; what arrives meanwhile is still recorded.
   void Hang(TimeUs time);
-  std::size_t standing() const { return calls_.size(); }
+  std::size_t established_calls() const { return calls_.size(); }
 
  private:
   class Connection;
-  class Door;
-  struct StandingCall {
+  class Listener;
+  struct EstablishedCall {
     int softswitch = 0;
-    Connection* connection = nullptr;  // of its set-up; null: it is gone
+    Connection* connection = nullptr;  // on which the set-up came; null once it has closed
     std::unique_ptr<core::Timer> end;
   };
   struct Attempt {
@@ -64,32 +68,32 @@
   void OnLine(Connection* connection, std::string_view line);
   void OnSetUp(Connection* connection, const platform::Message& message);
   void OnRelease(Connection* connection, const std::string& id);
-  void OnOpened(Connection* connection);
-  void OnClosed(Connection* connection);
-  void Answer(const std::string& id);
+  void OnConnectionOpened(Connection* connection);
+  void OnConnectionClosed(Connection* connection);
+  void AnswerSetUp(const std::string& id);
   void EndCall(const std::string& id);
-  // The newest connection of this softswitch; null: there is none.
-  Connection* Newest(int softswitch);
-  void SendGauge(Connection* connection);
-  void ReportByTheClock();
-  void Note(EventKind kind, int softswitch, const std::string& call, std::int64_t value = 0);
-  bool Draw(double share) { return std::uniform_real_distribution<double>(0.0, 1.0)(random_) < share; }
+  // Returns the newest connection of a softswitch, or null if there is none.
+  Connection* NewestConnection(int softswitch);
+  void SendReport(Connection* connection);
+  void ScheduleReport();
+  void LogEvent(EventKind kind, int softswitch, const std::string& call, std::int64_t value = 0);
+  bool DrawChance(double share) { return std::uniform_real_distribution<double>(0.0, 1.0)(random_) < share; }
 
   core::Runtime* runtime_;
-  TrafficRecord* record_;
+  EventLog* event_log_;
   std::mt19937_64 random_;
   ExchangeTraits traits_;
-  std::vector<FaultProxy*> ways_;
+  std::vector<FaultProxy*> proxies_;
   int instance_ = 0;
-  std::vector<std::unique_ptr<Door>> doors_;
+  std::vector<std::unique_ptr<Listener>> listeners_;
   std::list<std::unique_ptr<Connection>> connections_;
   std::unordered_map<std::string, Attempt> attempts_;
-  std::unordered_map<std::string, StandingCall> calls_;
-  std::map<int, std::vector<std::string>> untold_;    // releases that no connection took, by softswitch
-  std::map<int, std::vector<std::string>> repeated_;  // releases that the next connection brings once more
-  std::map<int, int> used_;                           // circuits, by softswitch
-  bool hangs_ = false;
-  core::Timer hang_, report_;
+  std::unordered_map<std::string, EstablishedCall> calls_;
+  std::map<int, std::vector<std::string>> unsent_releases_;    // by softswitch; sent on its next connection
+  std::map<int, std::vector<std::string>> repeated_releases_;  // by softswitch; sent once more on its next connection
+  std::map<int, int> used_circuits_;                           // by softswitch
+  bool hanging_ = false;
+  core::Timer hang_timer_, report_timer_;
 };
 
 }  // namespace croftrun::lab::soak
--- a/src/lab/soak/fault_proxy.cpp
+++ b/src/lab/soak/fault_proxy.cpp
@@ -25,14 +25,14 @@
 namespace {
 
 constexpr int kBacklog = 256;
-// Connections of the proxy's own that make a backlog of one full: one waits in it, the others for a place.
+// Connections by which the proxy fills a backlog of one: one is queued in it, the others wait for a place.
 constexpr int kFillers = 3;
-// How often a pump that may not pass anything looks whether it may again.
-constexpr std::chrono::milliseconds kLookAgain{5};
-// Octets that took longer than this to pass were held back.
-constexpr TimeUs kLongPass = 4'000;
-constexpr std::size_t kLargestPiece = 40;
-constexpr int kLongestPieceGapMs = 8;
+// How often a pump that must not forward data checks whether it may again.
+constexpr std::chrono::milliseconds kForwardingPollInterval{5};
+// Data that was delayed by more than this was held back by a fault.
+constexpr TimeUs kDelayThreshold = 4'000;
+constexpr std::size_t kMaxPieceOctets = 40;
+constexpr int kMaxPieceGapMs = 8;
 
 enum class Side : std::uint8_t { kDownstream, kUpstream };
 
@@ -47,52 +47,52 @@
 // One connection through the proxy.
 struct FaultProxy::Pair {
   Pair(asio::io_context& context, tcp::socket accepted)
-      : downstream(std::move(accepted)), upstream(context), last_octets(Clock::now()) {}
+      : downstream(std::move(accepted)), upstream(context), last_activity(Clock::now()) {}
   tcp::socket downstream, upstream;
-  Clock::time_point last_octets;
-  TimeUs waited = 0;     // the octets that were last handed upstream
-  std::size_t held = 0;  // octets that lay unread when a stall ended: they waited as long
+  Clock::time_point last_activity;
+  TimeUs delay = 0;                // of the data last forwarded upstream
+  std::size_t delayed_octets = 0;  // unread octets at the end of a stall, which had the same delay
   std::uint16_t upstream_port = 0;
-  bool forgotten = false;  // the upstream side has ended without a word to the downstream side
-  bool over = false;
-  FaultProxy* proxy = nullptr;  // null once the proxy is gone
+  bool upstream_forgotten = false;  // the upstream side has ended without notice to the downstream side
+  bool closed = false;
+  FaultProxy* proxy = nullptr;  // null once the proxy has been destroyed
 
-  void NoteWait(std::size_t octets, TimeUs time) {
-    if (held > 0) {
-      held -= std::min(held, octets);
+  void RecordDelay(std::size_t octets, TimeUs time) {
+    if (delayed_octets > 0) {
+      delayed_octets -= std::min(delayed_octets, octets);
       return;
     }
-    waited = time;
+    delay = time;
     error_code ignored;
-    if (time > kLongPass) held = downstream.available(ignored);
+    if (time > kDelayThreshold) delayed_octets = downstream.available(ignored);
   }
   void Reset() {
-    if (over) return;
-    over = true;
+    if (closed) return;
+    closed = true;
     ResetSocket(downstream);
     ResetSocket(upstream);
   }
   void Close() {
-    if (over) return;
-    over = true;
+    if (closed) return;
+    closed = true;
     error_code ignored;
     downstream.close(ignored);
     upstream.close(ignored);
   }
-  bool Passes(Side from) const {
-    if (proxy == nullptr || proxy->vanished_) return false;
-    return from == Side::kDownstream ? proxy->passing_.to_upstream : proxy->passing_.to_downstream;
+  bool MayForward(Side from) const {
+    if (proxy == nullptr || proxy->host_lost_) return false;
+    return from == Side::kDownstream ? proxy->forwarding_.to_upstream : proxy->forwarding_.to_downstream;
   }
 };
 
 namespace {
 
-// Waits until the pair may pass octets from `from`, or is over.
+// Waits until data from `from` may be forwarded, or the pair is closed.
 template <typename Pair>
-asio::awaitable<void> WaitToPass(std::shared_ptr<Pair> pair, Side from, asio::steady_timer& timer) {
+asio::awaitable<void> WaitUntilForwarding(std::shared_ptr<Pair> pair, Side from, asio::steady_timer& timer) {
   error_code ignored;
-  while (!pair->over && pair->proxy != nullptr && !pair->Passes(from)) {
-    timer.expires_after(kLookAgain);
+  while (!pair->closed && pair->proxy != nullptr && !pair->MayForward(from)) {
+    timer.expires_after(kForwardingPollInterval);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
@@ -101,18 +101,18 @@
 asio::awaitable<void> WriteInPieces(std::shared_ptr<Pair> pair, tcp::socket& to, const char* data, std::size_t size,
                                     std::mt19937_64& random, asio::steady_timer& timer) {
   error_code error;
-  while (size > 0 && !pair->over) {
-    const std::size_t piece = std::min<std::size_t>(size, 1 + random() % kLargestPiece);
+  while (size > 0 && !pair->closed) {
+    const std::size_t piece = std::min<std::size_t>(size, 1 + random() % kMaxPieceOctets);
     co_await asio::async_write(to, asio::buffer(data, piece), asio::redirect_error(asio::use_awaitable, error));
     if (error) co_return;
     data += piece;
     size -= piece;
-    timer.expires_after(std::chrono::milliseconds(random() % kLongestPieceGapMs));
+    timer.expires_after(std::chrono::milliseconds(random() % kMaxPieceGapMs));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
   }
 }
 
-// Carries one way of a connection until it ends.
+// Forwards one direction of a connection until it ends.
 template <typename Pair>
 asio::awaitable<void> Pump(std::shared_ptr<Pair> pair, Side from_side, std::uint64_t seed, const bool* trickle) {
   tcp::socket& from = from_side == Side::kDownstream ? pair->downstream : pair->upstream;
@@ -121,20 +121,20 @@
   std::mt19937_64 random(seed);
   asio::steady_timer timer(from.get_executor());
   error_code error;
-  while (!pair->over) {
+  while (!pair->closed) {
     const std::size_t got =
         co_await from.async_read_some(asio::buffer(octets), asio::redirect_error(asio::use_awaitable, error));
-    if (pair->over) co_return;
+    if (pair->closed) co_return;
     const Clock::time_point arrived = Clock::now();
-    co_await WaitToPass(pair, from_side, timer);
+    co_await WaitUntilForwarding(pair, from_side, timer);
     if (from_side == Side::kDownstream) {
-      const auto waited =
+      const auto delay =
           static_cast<TimeUs>(std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - arrived).count());
-      pair->NoteWait(got, waited);
+      pair->RecordDelay(got, delay);
     }
-    if (pair->over || pair->proxy == nullptr) co_return pair->Close();
-    if (pair->forgotten) {
-      // The far end remembers nothing of this connection: whatever is sent on it is answered by a reset.
+    if (pair->closed || pair->proxy == nullptr) co_return pair->Close();
+    if (pair->upstream_forgotten) {
+      // The upstream host has no state of this connection any more, so it answers any data with a reset.
       if (from_side == Side::kDownstream) pair->Reset();
       co_return;
     }
@@ -145,7 +145,7 @@
       co_return;
     }
     if (error) co_return pair->Reset();
-    pair->last_octets = Clock::now();
+    pair->last_activity = Clock::now();
     if (*trickle) {
       co_await WriteInPieces(pair, to, octets.data(), got, random, timer);
     } else {
@@ -163,7 +163,7 @@
       listen_(runtime::EndpointOf<tcp>(listen)),
       upstream_(runtime::EndpointOf<tcp>(upstream)),
       random_(seed),
-      hold_timer_(*context) {
+      delay_timer_(*context) {
   Listen();
 }
 
@@ -188,23 +188,23 @@
 
 void FaultProxy::Accept() {
   acceptor_->async_accept([this](const error_code& error, tcp::socket socket) {
-    if (error) return;  // the acceptor is closed or gone
-    if (Blocked()) {
-      // It came up in the moment in which the way was cut: nothing passes on it.
+    if (error) return;  // the acceptor was closed
+    if (IsBlocked()) {
+      // The connection opened just as the fault began: nothing is forwarded on it.
       fillers_.push_back(std::move(socket));
       return;
     }
     Accept();
     char octet = 0;
-    if (::recv(socket.native_handle(), &octet, 1, MSG_DONTWAIT | MSG_PEEK) == 0) return;  // a filler, or gone already
+    if (::recv(socket.native_handle(), &octet, 1, MSG_DONTWAIT | MSG_PEEK) == 0) return;  // a filler, or closed already
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     auto pair = std::make_shared<Pair>(*context_, std::move(socket));
     pair->proxy = this;
-    std::erase_if(pairs_, [](const auto& old) { return old->over; });
+    std::erase_if(pairs_, [](const auto& old) { return old->closed; });
     pairs_.push_back(pair);
     pair->upstream.async_connect(upstream_, [this, pair](const error_code& failed) {
-      if (pair->over || pair->proxy == nullptr) return;
+      if (pair->closed || pair->proxy == nullptr) return;
       if (failed) return pair->Reset();
       error_code none;
       pair->upstream.set_option(tcp::no_delay(true), none);
@@ -224,44 +224,44 @@
     tcp::socket& filler = fillers_.emplace_back(*context_);
     filler.open(tcp::v4(), ignored);
     filler.non_blocking(true, ignored);
-    // It is in progress, or waits in the backlog; that it does not complete is what it is for.
+    // The connection stays in progress or waits in the backlog; it is not meant to complete.
     static_cast<void>(::connect(filler.native_handle(), listen_.data(), static_cast<socklen_t>(listen_.size())));
   }
 }
 
 void FaultProxy::FreeBacklog() {
-  if (fillers_.empty() || Blocked()) return;
+  if (fillers_.empty() || IsBlocked()) return;
   fillers_.clear();
   if (acceptor_ == nullptr) return;
   ::listen(acceptor_->native_handle(), kBacklog);
   Accept();
 }
 
-void FaultProxy::Pass(Passing passing) {
-  passing_ = passing;
-  if (Blocked()) {
+void FaultProxy::SetForwarding(Forwarding forwarding) {
+  forwarding_ = forwarding;
+  if (IsBlocked()) {
     FillBacklog();
   } else {
     FreeBacklog();
   }
 }
 
-void FaultProxy::Vanish() {
-  vanished_ = true;
+void FaultProxy::LoseHost() {
+  host_lost_ = true;
   for (const auto& pair : pairs_) {
-    // The upstream side may go; the downstream side stays open, and nothing is read on it.
-    pair->forgotten = true;
+    // The upstream side is reset; the downstream side stays open, and nothing is read from it.
+    pair->upstream_forgotten = true;
     ResetSocket(pair->upstream);
   }
   FillBacklog();
 }
 
-void FaultProxy::Return() {
-  vanished_ = false;
+void FaultProxy::RestoreHost() {
+  host_lost_ = false;
   FreeBacklog();
 }
 
-void FaultProxy::Refuse(bool refuse) {
+void FaultProxy::SetRefusing(bool refuse) {
   if (refuse == refusing_) return;
   refusing_ = refuse;
   if (refuse) {
@@ -269,55 +269,55 @@
     acceptor_.reset();
   } else {
     Listen();
-    if (Blocked()) FillBacklog();
+    if (IsBlocked()) FillBacklog();
   }
 }
 
 void FaultProxy::ResetAll() {
-  if (vanished_) return;                              // a machine that is gone does nothing
-  if (!passing_.to_downstream) return ForgetIdle(0);  // nothing of it passes: it is found out by who writes later
+  if (host_lost_) return;                                // a lost host sends no reset
+  if (!forwarding_.to_downstream) return ForgetIdle(0);  // the reset does not get through: a later write finds out
   for (const auto& pair : pairs_) pair->Reset();
   pairs_.clear();
 }
 
-TimeUs FaultProxy::WaitedOf(std::uint16_t upstream_port) const {
+TimeUs FaultProxy::DelayOf(std::uint16_t upstream_port) const {
   const auto found = std::find_if(pairs_.begin(), pairs_.end(),
                                   [upstream_port](const auto& pair) { return pair->upstream_port == upstream_port; });
-  return found == pairs_.end() ? 0 : (*found)->waited;
+  return found == pairs_.end() ? 0 : (*found)->delay;
 }
 
 void FaultProxy::CloseIdle(TimeUs idle) {
-  if (vanished_) return;
-  if (!passing_.to_downstream) return ForgetIdle(idle);
+  if (host_lost_) return;
+  if (!forwarding_.to_downstream) return ForgetIdle(idle);
   for (const auto& pair : pairs_) {
-    if (Clock::now() - pair->last_octets >= std::chrono::microseconds(idle)) pair->Close();
+    if (Clock::now() - pair->last_activity >= std::chrono::microseconds(idle)) pair->Close();
   }
 }
 
 void FaultProxy::ForgetIdle(TimeUs idle) {
   for (const auto& pair : pairs_) {
-    if (pair->over || Clock::now() - pair->last_octets < std::chrono::microseconds(idle)) continue;
-    pair->forgotten = true;
+    if (pair->closed || Clock::now() - pair->last_activity < std::chrono::microseconds(idle)) continue;
+    pair->upstream_forgotten = true;
     ResetSocket(pair->upstream);
   }
 }
 
-void FaultProxy::HoldConnections(TimeUs time) {
-  held_ = true;
+void FaultProxy::DelayConnections(TimeUs time) {
+  delaying_connections_ = true;
   FillBacklog();
-  hold_timer_.expires_after(std::chrono::microseconds(time));
-  hold_timer_.async_wait([this](const error_code& cancelled) {
+  delay_timer_.expires_after(std::chrono::microseconds(time));
+  delay_timer_.async_wait([this](const error_code& cancelled) {
     if (cancelled) return;
-    held_ = false;
+    delaying_connections_ = false;
     FreeBacklog();
   });
 }
 
 void FaultProxy::HalfCloseAll() {
-  if (vanished_ || !passing_.to_downstream) return;
+  if (host_lost_ || !forwarding_.to_downstream) return;
   error_code ignored;
   for (const auto& pair : pairs_) {
-    if (!pair->over) pair->downstream.shutdown(tcp::socket::shutdown_send, ignored);
+    if (!pair->closed) pair->downstream.shutdown(tcp::socket::shutdown_send, ignored);
   }
 }
 
--- a/src/lab/soak/fault_proxy.h
+++ b/src/lab/soak/fault_proxy.h
@@ -1,8 +1,10 @@
-// A TCP proxy on loopback that does to connections what networks and dying machines do: silence both ways or one way,
-// connections that never come up or come up late, resets, half-closes, octets in pieces, idle connections forgotten.
+// A TCP proxy on loopback that injects the faults of networks and failing hosts into connections: silence in one or
+// both directions, connections that open late or never, resets, half-closes, data in small pieces, and idle connections
+// whose state is lost.
 //
-// A connection that must not come up is held back by the kernel: the backlog of the listening socket is made one and
-// filled, so that the SYN of the next connection is dropped and sent again, as on a way that is cut.
+// To keep a connection from opening, the proxy makes the backlog of its listening socket as small as possible and fills
+// it, so that the kernel drops the SYN of the next connection. The client retransmits the SYN, as it does when the
+// network is interrupted.
 #ifndef CROFTRUN_LAB_SOAK_FAULT_PROXY_H_
 #define CROFTRUN_LAB_SOAK_FAULT_PROXY_H_
 
@@ -18,65 +20,68 @@
 
 namespace croftrun::lab::soak {
 
-// What passes each way; both by default.
-struct Passing {
+// The directions in which data is forwarded; both by default.
+struct Forwarding {
   bool to_upstream = true;
   bool to_downstream = true;
 };
 
+// Forwards connections from one address to another and injects faults.
 class FaultProxy {
  public:
-  // Listens at `listen` and connects to `upstream`. Throws std::system_error where it cannot listen.
+  // Listens at `listen` and connects to `upstream`. Throws std::system_error if it cannot listen.
   FaultProxy(boost::asio::io_context* context, const core::Address& listen, const core::Address& upstream,
              std::uint64_t seed);
   ~FaultProxy();
   FaultProxy(const FaultProxy&) = delete;
   FaultProxy& operator=(const FaultProxy&) = delete;
 
-  // Octets of a way that does not pass wait; unless both pass, new connections do not come up.
-  void Pass(Passing passing);
-  // Whether both ways pass and connections come up.
-  bool Working() const { return passing_.to_upstream && passing_.to_downstream && !refusing_ && !vanished_; }
-  // The machine behind is gone: open connections stay open and silent, new ones never come up.
-  void Vanish();
-  // A machine is there again; what is sent on connections from before is answered by a reset.
-  void Return();
-  // New connections are refused, or accepted again.
-  void Refuse(bool refuse);
-  // All connections are reset, on both sides.
+  // Holds back the data of a direction that is not forwarded. New connections open only while both are forwarded.
+  void SetForwarding(Forwarding forwarding);
+  // True while both directions are forwarded and the proxy neither refuses connections nor simulates a lost host.
+  bool IsWorking() const { return forwarding_.to_upstream && forwarding_.to_downstream && !refusing_ && !host_lost_; }
+  // Simulates the loss of the host behind the proxy: open connections stay open and silent, new ones never open.
+  void LoseHost();
+  // Ends the loss of the host. Data that is sent on connections from before is answered with a reset.
+  void RestoreHost();
+  // Refuses new connections, or accepts them again.
+  void SetRefusing(bool refuse);
+  // Resets all connections on both sides.
   void ResetAll();
-  // All connections that carried nothing for `idle` are closed in order, or are forgotten: the upstream side ends, and
-  // the downstream side hears of it only when it sends something.
+  // Closes all connections that were idle for at least `idle`, or loses their state: the upstream side ends, and the
+  // downstream side finds out only when it sends something.
   void CloseIdle(TimeUs idle);
   void ForgetIdle(TimeUs idle);
-  // New connections do not come up for so long.
-  void HoldConnections(TimeUs time);
-  // Towards downstream: the sending half of every connection is closed.
+  // Keeps new connections from opening for `time`.
+  void DelayConnections(TimeUs time);
+  // Closes the sending half of every connection towards downstream.
   void HalfCloseAll();
-  // Octets go in small pieces, with pauses.
-  void Trickle(bool on) { trickle_ = on; }
-  // How long the octets that were last handed upstream had waited here; the connection is known by the port from which
-  // it was made. What arrives late by a fault was sent in time.
-  TimeUs WaitedOf(std::uint16_t upstream_port) const;
+  // Forwards data in small pieces with gaps between them.
+  void SetTrickle(bool on) { trickle_ = on; }
+  // How long the proxy held back the data that it last forwarded upstream on a connection, which is identified by the
+  // port from which it was opened. Data that an injected fault made late was sent in time.
+  TimeUs DelayOf(std::uint16_t upstream_port) const;
 
  private:
   struct Pair;
   void Listen();
   void Accept();
-  // The backlog is full from now on, or free again.
+  // Fills the backlog so that no connection opens, or frees it again.
   void FillBacklog();
   void FreeBacklog();
-  bool Blocked() const { return !passing_.to_upstream || !passing_.to_downstream || vanished_ || held_; }
+  bool IsBlocked() const {
+    return !forwarding_.to_upstream || !forwarding_.to_downstream || host_lost_ || delaying_connections_;
+  }
 
   boost::asio::io_context* context_;
   boost::asio::ip::tcp::endpoint listen_, upstream_;
   std::mt19937_64 random_;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
   std::list<boost::asio::ip::tcp::socket> fillers_;
-  boost::asio::steady_timer hold_timer_;
+  boost::asio::steady_timer delay_timer_;
   std::list<std::shared_ptr<Pair>> pairs_;
-  Passing passing_;
-  bool refusing_ = false, vanished_ = false, held_ = false, trickle_ = false;
+  Forwarding forwarding_;
+  bool refusing_ = false, host_lost_ = false, delaying_connections_ = false, trickle_ = false;
 };
 
 }  // namespace croftrun::lab::soak
--- a/src/lab/soak/judge.cpp
+++ b/src/lab/soak/judge.cpp
@@ -10,24 +10,28 @@
 namespace croftrun::lab::soak {
 namespace {
 
-// Every time limit on sockets is this much longer.
-constexpr TimeUs kSlack = 50'000;
-// An answer is lost when it comes later than this after the client's time; until then it earns nothing.
-constexpr TimeUs kLateAnswer = 500'000;
-constexpr TimeUs kTellReleased = 1'000'000, kTellUnsent = 8'000'000;
-constexpr TimeUs kClientGone = 100'000;
-constexpr TimeUs kBadClientServed = 3'000'000;
-constexpr TimeUs kReadyWithin = 10'000'000;
-// Requests that came later than this after SIGTERM have to be answered by the kill as well.
-constexpr TimeUs kTakenAfterTerminate = 700'000;
-// A change counts as told at the latest this long after discovery had it and could be reached.
-constexpr TimeUs kToldLatest = 6'000'000;
-// A client's connection that lasts less was no chance to tell an end.
-constexpr TimeUs kBriefConnection = 300'000;
-// What crosses the kill or the exit of a process by less than this is nobody's.
-constexpr TimeUs kCrossing = 60'000;
+// Added to every time limit, for delays of sockets and scheduling.
+constexpr TimeUs kTimingTolerance = 50'000;
+// An answer is accepted up to this time after the caller's time-out, although it has no value any more; a later one
+// counts as missing.
+constexpr TimeUs kMaxAnswerLateness = 500'000;
+// The caller has to be notified of a call's end within these times: where the exchange sent a release, and where it
+// could not.
+constexpr TimeUs kReleaseReportTimeout = 1'000'000, kSilentEndReportTimeout = 8'000'000;
+constexpr TimeUs kAbandonTimeout = 100'000;
+constexpr TimeUs kBadClientTimeout = 3'000'000;
+constexpr TimeUs kReadyTimeout = 10'000'000;
+// A set-up that is sent later than this after SIGTERM must be answered before SIGKILL as well; its violation is marked.
+constexpr TimeUs kLateRequestThreshold = 700'000;
+// A softswitch has to know a change of the directory at the latest this long after discovery listed it and could be
+// reached.
+constexpr TimeUs kDirectoryUpdateTimeout = 6'000'000;
+// A shorter client connection does not count as an opportunity to notify the client of a call's end.
+constexpr TimeUs kMinConnectionTime = 300'000;
+// A set-up that is sent within this time of the end of the process cannot be attributed to it.
+constexpr TimeUs kProcessEndRaceTime = 60'000;
 
-constexpr std::array<std::string_view, kRules> kNames{
+constexpr std::array<std::string_view, kCheckCount> kNames{
     "final answer", "end of standing calls", "one attempt", "drain",  "release time", "client gone", "bad clients",
     "shutdown",     "needless cut",          "restarts",    "limits", "cold start"};
 
@@ -36,21 +40,21 @@
 struct Attempt {
   TimeUs arrived = 0;
   int exchange = -1;
-  std::optional<TimeUs> over;  // answered, refused, given up or reset
-  bool release_wait = false;   // it was given up or reset
+  std::optional<TimeUs> finished;   // answered, refused, abandoned or reset
+  bool needs_resend_guard = false;  // it was abandoned or reset
 };
 
 struct CallHistory {
   int softswitch = -1;
   std::uint32_t host = 0;
-  std::optional<TimeUs> sent, cancelled, answered, released, closed_under, released_by_client, ended, unsent,
-      released_there, announced;
-  TimeUs wait = 0;
-  bool answered_there = false;
-  std::string description, closed_how;
+  std::optional<TimeUs> sent, cancelled, answered, released, closed_before_answer, released_by_client, ended,
+      ended_silently, released_at_exchange, announced;
+  TimeUs caller_timeout = 0;
+  bool answered_at_exchange = false;
+  std::string description, close_reason;
   int answers = 0, releases = 0;
   std::vector<Attempt> attempts;
-  std::set<std::string> made;  // descriptions that exchanges gave
+  std::set<std::string> exchange_descriptions;  // from the exchanges' answers
 };
 
 struct Interval {
@@ -59,55 +63,56 @@
 
 struct Process {
   std::vector<Interval> runs;
-  std::vector<std::pair<TimeUs, TimeUs>> terminated;  // SIGTERM, and the kill at the earliest
+  std::vector<std::pair<TimeUs, TimeUs>> sigterms;  // time of SIGTERM, and earliest time of SIGKILL
   std::vector<TimeUs> killed;
 };
 
-class Judgement {
+class VerdictBuilder {
  public:
-  Judgement(const std::vector<TrafficEvent>& events, const JudgeSettings& settings)
+  VerdictBuilder(const std::vector<TrialEvent>& events, const JudgeSettings& settings)
       : events_(events), settings_(settings) {
     if (!events.empty()) end_ = events.back().at;
-    for (const TrafficEvent& event : events) Collect(event);
+    for (const TrialEvent& event : events) Collect(event);
   }
 
-  Verdict Give() {
+  Verdict Build() {
     for (const auto& [id, call] : calls_) {
       CheckAnswer(id, call);
-      CheckStandingEnd(id, call);
+      CheckCallEnd(id, call);
       CheckAttempts(id, call);
     }
     CheckDrains();
     CheckProcesses();
     CheckBadClients();
     const ColdStartVerdict cold = CheckColdStarts(events_, settings_.cold_start);
-    verdict_.checked[static_cast<std::size_t>(Rule::kColdStart)] = cold.checked;
-    for (const ColdStartFall& fall : cold.falls)
-      Broken(Rule::kColdStart, fall.at, "", "exchange " + std::to_string(fall.exchange) + ": " + fall.text);
-    std::sort(verdict_.findings.begin(), verdict_.findings.end(),
-              [](const Finding& a, const Finding& b) { return std::tie(a.at, a.call) < std::tie(b.at, b.call); });
+    verdict_.checked[static_cast<std::size_t>(Check::kColdStart)] = cold.checked;
+    for (const ColdStartViolation& violation : cold.violations)
+      AddViolation(Check::kColdStart, violation.at, "",
+                   "exchange " + std::to_string(violation.exchange) + ": " + violation.text);
+    std::sort(verdict_.violations.begin(), verdict_.violations.end(),
+              [](const Violation& a, const Violation& b) { return std::tie(a.at, a.call) < std::tie(b.at, b.call); });
     return std::move(verdict_);
   }
 
  private:
-  void Collect(const TrafficEvent& event);
-  void CollectCall(const TrafficEvent& event, CallHistory& call);
-  // Processes and discovery.
-  void CollectFleet(const TrafficEvent& event);
-  void CollectAttempt(const TrafficEvent& event, CallHistory& call);
+  void Collect(const TrialEvent& event);
+  void CollectCall(const TrialEvent& event, CallHistory& call);
+  // Collects the events of processes and discovery.
+  void CollectProcessEvent(const TrialEvent& event);
+  void CollectAttempt(const TrialEvent& event, CallHistory& call);
   void CheckAnswer(const std::string& id, const CallHistory& call);
-  void CheckStandingEnd(const std::string& id, const CallHistory& call);
+  void CheckCallEnd(const std::string& id, const CallHistory& call);
   void CheckAttempts(const std::string& id, const CallHistory& call);
   void CheckDrains();
   void CheckProcesses();
   void CheckBadClients();
 
-  void Broken(Rule rule, TimeUs at, const std::string& call, const std::string& text) {
-    verdict_.findings.push_back({rule, at, call, text});
+  void AddViolation(Check check, TimeUs at, const std::string& call, const std::string& text) {
+    verdict_.violations.push_back({check, at, call, text});
   }
-  void Checked(Rule rule) { ++verdict_.checked[static_cast<std::size_t>(rule)]; }
-  // The process of this softswitch that ran at `at` was killed, or ended, in this time: the moment of it.
-  std::optional<TimeUs> GoneWithin(int softswitch, TimeUs from, TimeUs to) const {
+  void CountCheck(Check check) { ++verdict_.checked[static_cast<std::size_t>(check)]; }
+  // Returns when a process of this softswitch was killed or exited between `from` and `to`.
+  std::optional<TimeUs> ProcessEndWithin(int softswitch, TimeUs from, TimeUs to) const {
     const auto found = processes_.find(softswitch);
     if (found == processes_.end()) return std::nullopt;
     for (const Interval& run : found->second.runs) {
@@ -115,51 +120,52 @@
     }
     return std::nullopt;
   }
-  // SIGTERM of the process that was killed at `killed`, if it was one by plan.
-  std::optional<TimeUs> TerminatedBefore(int softswitch, TimeUs killed) const {
+  // Returns the time of the SIGTERM to the process that ended at `end_time`; nothing if it was killed without SIGTERM.
+  std::optional<TimeUs> SigtermBefore(int softswitch, TimeUs end_time) const {
     const auto found = processes_.find(softswitch);
     if (found == processes_.end()) return std::nullopt;
     std::optional<TimeUs> last;
-    for (const auto& [at, kill] : found->second.terminated) {
-      if (at <= killed && killed <= kill + 1'000'000) last = at;
+    for (const auto& [at, earliest_kill] : found->second.sigterms) {
+      if (at <= end_time && end_time <= earliest_kill + 1'000'000) last = at;
     }
     return last;
   }
-  // When the caller could be told from `from` on: it had a connection that lasted, or got one.
-  std::optional<TimeUs> Reachable(int softswitch, std::uint32_t host, TimeUs from, TimeUs deadline) const;
-  // A drain of this exchange counts as told to this softswitch; nothing: never.
-  std::optional<TimeUs> ToldOfDrain(int softswitch, TimeUs listed, std::optional<TimeUs> written) const;
+  // Returns the first time, not before `from`, at which the caller had a connection that lasted long enough to be
+  // notified on it.
+  std::optional<TimeUs> CallerReachableSince(int softswitch, std::uint32_t host, TimeUs from, TimeUs deadline) const;
+  // Returns the time from which this softswitch has to know of a drain; nothing if it could not be notified at all.
+  std::optional<TimeUs> DrainKnownSince(int softswitch, TimeUs listed, std::optional<TimeUs> written) const;
 
-  const std::vector<TrafficEvent>& events_;
+  const std::vector<TrialEvent>& events_;
   JudgeSettings settings_;
   TimeUs end_ = 0;
   std::map<std::string, CallHistory> calls_;
   std::map<int, Process> processes_;
   std::map<std::pair<int, std::uint32_t>, std::vector<Interval>> connections_;  // of clients, by softswitch and host
-  std::map<int, std::vector<Interval>> discovery_away_;
+  std::map<int, std::vector<Interval>> discovery_outages_;
   std::map<std::pair<int, int>, TimeUs> drain_listed_, drain_written_;  // by softswitch and exchange
-  std::map<std::pair<int, std::int64_t>, TimeUs> bad_came_, bad_served_;
+  std::map<std::pair<int, std::int64_t>, TimeUs> bad_clients_connected_, bad_clients_served_;
   Verdict verdict_;
 };
 
-void Judgement::CollectAttempt(const TrafficEvent& event, CallHistory& call) {
-  const auto end = [&](bool release_wait) {
+void VerdictBuilder::CollectAttempt(const TrialEvent& event, CallHistory& call) {
+  const auto end = [&](bool needs_resend_guard) {
     for (auto attempt = call.attempts.rbegin(); attempt != call.attempts.rend(); ++attempt) {
-      if (attempt->exchange != event.exchange || attempt->over) continue;
-      attempt->over = event.at;
-      attempt->release_wait = release_wait;
+      if (attempt->exchange != event.exchange || attempt->finished) continue;
+      attempt->finished = event.at;
+      attempt->needs_resend_guard = needs_resend_guard;
       return;
     }
   };
   switch (event.kind) {
     case EventKind::kAttemptArrived:
-      // It was sent so much earlier than it arrived.
+      // The attempt was sent earlier by the time that an injected fault delayed it.
       call.attempts.push_back(
           {event.at - std::min(event.at, static_cast<TimeUs>(event.value)), event.exchange, {}, false});
       break;
     case EventKind::kAttemptAnswered:
-      call.answered_there = true;
-      call.made.insert("exchange " + std::to_string(event.exchange) + " call " + event.call);
+      call.answered_at_exchange = true;
+      call.exchange_descriptions.insert("exchange " + std::to_string(event.exchange) + " call " + event.call);
       end(false);
       break;
     case EventKind::kAttemptRefused:
@@ -171,20 +177,20 @@
   }
 }
 
-void Judgement::CollectFleet(const TrafficEvent& event) {
+void VerdictBuilder::CollectProcessEvent(const TrialEvent& event) {
   Process& process = processes_[event.softswitch];
   switch (event.kind) {
     case EventKind::kStarted:
       process.runs.push_back({event.at, ~TimeUs{0}});
       break;
-    case EventKind::kTerminateSent:
-      process.terminated.emplace_back(event.at, event.at + static_cast<TimeUs>(event.value));
+    case EventKind::kSigtermSent:
+      process.sigterms.emplace_back(event.at, event.at + static_cast<TimeUs>(event.value));
       break;
     case EventKind::kKilled:
     case EventKind::kExited:
       if (!process.runs.empty()) process.runs.back().to = event.at;
       if (event.kind == EventKind::kKilled) process.killed.push_back(event.at);
-      // All connections of its clients end with it.
+      // The connections of its clients end with the process.
       for (auto& [key, open] : connections_) {
         if (key.first != event.softswitch) continue;
         for (Interval& connection : open) connection.to = std::min(connection.to, event.at);
@@ -196,36 +202,36 @@
     case EventKind::kDrainWritten:
       drain_written_.try_emplace({event.softswitch, event.exchange}, event.at);
       break;
-    case EventKind::kDiscoveryAway:
-      discovery_away_[event.softswitch].push_back({event.at, ~TimeUs{0}});
+    case EventKind::kDiscoveryUnavailable:
+      discovery_outages_[event.softswitch].push_back({event.at, ~TimeUs{0}});
       break;
-    case EventKind::kDiscoveryBack:
-      if (!discovery_away_[event.softswitch].empty()) discovery_away_[event.softswitch].back().to = event.at;
+    case EventKind::kDiscoveryAvailable:
+      if (!discovery_outages_[event.softswitch].empty()) discovery_outages_[event.softswitch].back().to = event.at;
       break;
     default:
       break;
   }
 }
 
-void Judgement::CollectCall(const TrafficEvent& event, CallHistory& call) {
+void VerdictBuilder::CollectCall(const TrialEvent& event, CallHistory& call) {
   const auto first = [&event](std::optional<TimeUs>& time) {
     if (!time) time = event.at;
   };
   switch (event.kind) {
     case EventKind::kSetUpSent:
       call.sent = event.at;
-      call.wait = static_cast<TimeUs>(event.value);
+      call.caller_timeout = static_cast<TimeUs>(event.value);
       call.host = event.host;
       break;
     case EventKind::kSetUpCancelled:
       first(call.cancelled);
       break;
-    case EventKind::kAnswerRead:
+    case EventKind::kAnswerReceived:
       ++call.answers;
       first(call.answered);
       call.description = event.text;
       break;
-    case EventKind::kReleaseRead:
+    case EventKind::kReleaseReceived:
       call.releases += event.text.empty() ? 1 : 0;
       first(call.released);
       break;
@@ -235,32 +241,32 @@
     case EventKind::kCallAnnounced:
       call.announced = event.at;
       break;
-    case EventKind::kClosedOnSetUp:
-      first(call.closed_under);
-      call.closed_how = event.text;
+    case EventKind::kClosedBeforeAnswer:
+      first(call.closed_before_answer);
+      call.close_reason = event.text;
       break;
     case EventKind::kAttemptArrived:
     case EventKind::kAttemptAnswered:
     case EventKind::kAttemptRefused:
-    case EventKind::kAttemptGivenUp:
+    case EventKind::kAttemptAbandoned:
     case EventKind::kAttemptReset:
       CollectAttempt(event, call);
       break;
     case EventKind::kCallEnded:
       first(call.ended);
       break;
-    case EventKind::kCallEndedUnsent:
-      first(call.unsent);
+    case EventKind::kCallEndedSilently:
+      first(call.ended_silently);
       break;
     case EventKind::kCallReleased:
-      first(call.released_there);
+      first(call.released_at_exchange);
       break;
     default:
       break;
   }
 }
 
-void Judgement::Collect(const TrafficEvent& event) {
+void VerdictBuilder::Collect(const TrialEvent& event) {
   if (!event.call.empty()) {
     CallHistory& call = calls_[event.call];
     if (call.softswitch < 0) call.softswitch = event.softswitch;
@@ -271,7 +277,7 @@
       connections_[{event.softswitch, event.host}].push_back({event.at, ~TimeUs{0}});
       break;
     case EventKind::kClientClosed:
-      // The oldest that is open: which one it was is not told apart, and need not be.
+      // The log does not identify the connections of a host, so the oldest open one is taken.
       for (Interval& open : connections_[{event.softswitch, event.host}]) {
         if (open.to != ~TimeUs{0}) continue;
         open.to = event.at;
@@ -279,23 +285,23 @@
       }
       break;
     case EventKind::kStarted:
-    case EventKind::kTerminateSent:
+    case EventKind::kSigtermSent:
     case EventKind::kKilled:
     case EventKind::kExited:
     case EventKind::kDrainListed:
     case EventKind::kDrainWritten:
-    case EventKind::kDiscoveryAway:
-    case EventKind::kDiscoveryBack:
-      CollectFleet(event);
+    case EventKind::kDiscoveryUnavailable:
+    case EventKind::kDiscoveryAvailable:
+      CollectProcessEvent(event);
       break;
-    case EventKind::kBadClientCame:
-      bad_came_[{event.softswitch, event.value}] = event.at;
+    case EventKind::kBadClientConnected:
+      bad_clients_connected_[{event.softswitch, event.value}] = event.at;
       break;
     case EventKind::kBadClientServed:
-      bad_served_[{event.softswitch, event.value}] = event.at;
+      bad_clients_served_[{event.softswitch, event.value}] = event.at;
       break;
-    case EventKind::kUnreadable:
-      Broken(Rule::kFinalAnswer, event.at, "", "a client read what is no message: " + event.text);
+    case EventKind::kMalformedLine:
+      AddViolation(Check::kFinalAnswer, event.at, "", "a client received a malformed line: " + event.text);
       break;
     case EventKind::kConnectionOpened:
       ++verdict_.connections;
@@ -303,243 +309,259 @@
     case EventKind::kProbeArrived:
       ++verdict_.probes;
       break;
-    case EventKind::kLimits:
-      Checked(Rule::kLimits);
-      if (event.value > settings_.most_descriptors)
-        Broken(Rule::kLimits, event.at, "",
-               "n" + std::to_string(event.softswitch) + " holds " + std::to_string(event.value) + " descriptors");
-      if (event.exchange > settings_.most_megabytes)
-        Broken(Rule::kLimits, event.at, "",
-               "n" + std::to_string(event.softswitch) + " holds " + std::to_string(event.exchange) + " MB");
+    case EventKind::kResourceUsage:
+      CountCheck(Check::kResources);
+      if (event.value > settings_.max_descriptors)
+        AddViolation(
+            Check::kResources, event.at, "",
+            "n" + std::to_string(event.softswitch) + " has " + std::to_string(event.value) + " open descriptors");
+      if (event.exchange > settings_.max_megabytes)
+        AddViolation(Check::kResources, event.at, "",
+                     "n" + std::to_string(event.softswitch) + " has " + std::to_string(event.exchange) +
+                         " MB of resident memory");
       break;
     default:
       break;
   }
 }
 
-void Judgement::CheckAnswer(const std::string& id, const CallHistory& call) {
+void VerdictBuilder::CheckAnswer(const std::string& id, const CallHistory& call) {
   if (!call.sent) return;
   ++verdict_.offered;
-  Checked(Rule::kFinalAnswer);
+  CountCheck(Check::kFinalAnswer);
   if (const auto process = processes_.find(call.softswitch); process != processes_.end()) {
-    for (const auto& [at, kill] : process->second.terminated) {
-      if (*call.sent >= at && *call.sent <= kill) Checked(Rule::kShutdown);
+    for (const auto& [at, earliest_kill] : process->second.sigterms) {
+      if (*call.sent >= at && *call.sent <= earliest_kill) CountCheck(Check::kShutdown);
     }
   }
   if (call.answered) {
     ++verdict_.answered;
-    if (call.made.count(call.description) == 0)
-      Broken(Rule::kFinalAnswer, *call.answered, id, "served with what no exchange made: " + call.description);
+    if (call.exchange_descriptions.count(call.description) == 0)
+      AddViolation(Check::kFinalAnswer, *call.answered, id,
+                   "answer with a description that no exchange sent: " + call.description);
   }
   if (call.answers > 1)
-    Broken(Rule::kFinalAnswer, *call.answered, id, "answered " + std::to_string(call.answers) + " times");
+    AddViolation(Check::kFinalAnswer, *call.answered, id, "answered " + std::to_string(call.answers) + " times");
   if (call.releases > 1)
-    Broken(Rule::kFinalAnswer, *call.released, id, "released " + std::to_string(call.releases) + " times");
+    AddViolation(Check::kFinalAnswer, *call.released, id, "released " + std::to_string(call.releases) + " times");
   if (call.answered && call.released && *call.released < *call.answered)
-    Broken(Rule::kFinalAnswer, *call.answered, id, "answered after its release");
-  const std::optional<TimeUs> final = call.answered && call.released ? std::min(*call.answered, *call.released)
-                                      : call.answered                ? call.answered
-                                                                     : call.released;
-  const TimeUs due = *call.sent + call.wait + kLateAnswer + kSlack;
-  if (call.cancelled && !call.answered && *call.cancelled <= due) return;  // nothing is owed, whatever crossed it
-  if (final) {
-    if (*final > due) Broken(Rule::kFinalAnswer, *final, id, "answered " + Milliseconds(*final - due) + " late");
+    AddViolation(Check::kFinalAnswer, *call.answered, id, "answered after its release");
+  const std::optional<TimeUs> final_answer = call.answered && call.released ? std::min(*call.answered, *call.released)
+                                             : call.answered                ? call.answered
+                                                                            : call.released;
+  const TimeUs deadline = *call.sent + call.caller_timeout + kMaxAnswerLateness + kTimingTolerance;
+  if (call.cancelled && !call.answered && *call.cancelled <= deadline)
+    return;  // no answer is due, whichever message came first
+  if (final_answer) {
+    if (*final_answer > deadline)
+      AddViolation(Check::kFinalAnswer, *final_answer, id,
+                   "answered " + Milliseconds(*final_answer - deadline) + " late");
     return;
   }
-  const auto gone = GoneWithin(call.softswitch, *call.sent > kCrossing ? *call.sent - kCrossing : 0, due);
-  if (!gone) {
-    if (call.closed_under)
-      return Broken(Rule::kFinalAnswer, *call.closed_under, id,
-                    "its connection ended without an answer (" + call.closed_how + ")");
-    if (due <= end_) Broken(Rule::kFinalAnswer, due, id, "no answer in time");
+  const auto process_end = ProcessEndWithin(
+      call.softswitch, *call.sent > kProcessEndRaceTime ? *call.sent - kProcessEndRaceTime : 0, deadline);
+  if (!process_end) {
+    if (call.closed_before_answer)
+      return AddViolation(Check::kFinalAnswer, *call.closed_before_answer, id,
+                          "its connection ended before the answer (" + call.close_reason + ")");
+    if (deadline <= end_) AddViolation(Check::kFinalAnswer, deadline, id, "no answer in time");
     return;
   }
-  const auto terminated = TerminatedBefore(call.softswitch, *gone);
-  if (!terminated) return;  // killed outright: nothing is owed
-  // What reached the kernel of a process that was just ending was never taken.
-  if (*call.sent + kCrossing >= *gone) return;
-  if (call.closed_under && *call.closed_under < *gone)
-    return Broken(Rule::kShutdown, *call.closed_under, id,
-                  "sent " + Milliseconds(*call.sent - std::min(*call.sent, *terminated)) +
-                      " after SIGTERM, its connection ended without an answer (" + call.closed_how + ")");
-  Broken(Rule::kShutdown, *gone, id,
-         "sent " + Milliseconds(*call.sent - std::min(*call.sent, *terminated)) +
-             " after SIGTERM, unanswered at the kill" +
-             (*call.sent > *terminated + kTakenAfterTerminate ? " (came late)" : ""));
+  const auto sigterm = SigtermBefore(call.softswitch, *process_end);
+  if (!sigterm) return;  // killed without SIGTERM: no answer is due
+  // The process ended before it could read the set-up from its socket.
+  if (*call.sent + kProcessEndRaceTime >= *process_end) return;
+  if (call.closed_before_answer && *call.closed_before_answer < *process_end)
+    return AddViolation(Check::kShutdown, *call.closed_before_answer, id,
+                        "sent " + Milliseconds(*call.sent - std::min(*call.sent, *sigterm)) +
+                            " after SIGTERM, its connection ended before the answer (" + call.close_reason + ")");
+  AddViolation(Check::kShutdown, *process_end, id,
+               "sent " + Milliseconds(*call.sent - std::min(*call.sent, *sigterm)) +
+                   " after SIGTERM, unanswered at SIGKILL" +
+                   (*call.sent > *sigterm + kLateRequestThreshold ? " (sent late)" : ""));
 }
 
-std::optional<TimeUs> Judgement::Reachable(int softswitch, std::uint32_t host, TimeUs from, TimeUs deadline) const {
+std::optional<TimeUs> VerdictBuilder::CallerReachableSince(int softswitch, std::uint32_t host, TimeUs from,
+                                                           TimeUs deadline) const {
   const auto found = connections_.find({softswitch, host});
   if (found == connections_.end()) return std::nullopt;
   std::optional<TimeUs> first;
   for (const Interval& open : found->second) {
-    if (open.to < from || open.to - open.from < kBriefConnection) continue;
-    // It has to have been there for long enough to be told on.
+    if (open.to < from || open.to - open.from < kMinConnectionTime) continue;
+    // The connection has to last long enough for a notification.
     const TimeUs since = std::max(open.from, from);
-    if (open.to < std::max(since, std::min(deadline, since + kTellReleased))) continue;
+    if (open.to < std::max(since, std::min(deadline, since + kReleaseReportTimeout))) continue;
     if (!first || since < *first) first = since;
   }
   return first;
 }
 
-void Judgement::CheckStandingEnd(const std::string& id, const CallHistory& call) {
+void VerdictBuilder::CheckCallEnd(const std::string& id, const CallHistory& call) {
   if (!call.answered || call.released_by_client) return;
   if (call.cancelled && *call.cancelled <= *call.answered)
-    return;  // the answer crossed the client's word that it gives up
-  // Over by the exchange, by no word at all, or by the softswitch.
-  std::optional<TimeUs> due, over;
-  if (call.unsent) {
-    over = call.unsent;
-    due = *call.unsent + kTellUnsent;
+    return;  // the answer was sent before the cancellation arrived
+  // The call ended without a release, by a release of the exchange, or by a release of the softswitch.
+  std::optional<TimeUs> deadline, ended_at;
+  if (call.ended_silently) {
+    ended_at = call.ended_silently;
+    deadline = *call.ended_silently + kSilentEndReportTimeout;
   }
   if (call.ended) {
-    if (!over) over = call.ended;
-    due = std::min(due.value_or(~TimeUs{0}), *call.ended + kTellReleased);
+    if (!ended_at) ended_at = call.ended;
+    deadline = std::min(deadline.value_or(~TimeUs{0}), *call.ended + kReleaseReportTimeout);
   }
-  if (call.released_there && !over) {
-    over = call.released_there;
-    due = *call.released_there + kTellReleased;
-    ++verdict_.needless_cuts;
-    Checked(Rule::kNeedlessCut);
-    if (!settings_.cuts_may_be_needed)
-      Broken(Rule::kNeedlessCut, *call.released_there, id,
-             "cut by the softswitch though it stood at exchange " +
-                 std::to_string(call.attempts.empty() ? -1 : call.attempts.back().exchange));
+  if (call.released_at_exchange && !ended_at) {
+    ended_at = call.released_at_exchange;
+    deadline = *call.released_at_exchange + kReleaseReportTimeout;
+    ++verdict_.needless_disconnects;
+    CountCheck(Check::kNeedlessDisconnect);
+    if (!settings_.disconnects_may_be_needed)
+      AddViolation(Check::kNeedlessDisconnect, *call.released_at_exchange, id,
+                   "disconnected by the softswitch while established at exchange " +
+                       std::to_string(call.attempts.empty() ? -1 : call.attempts.back().exchange));
   } else {
-    Checked(Rule::kNeedlessCut);
+    CountCheck(Check::kNeedlessDisconnect);
   }
-  if (!over) return;
-  TimeUs limit = *due + kSlack;
-  if (call.released && *call.released <= limit) return Checked(Rule::kStandingEnd);
-  // A process that ended meanwhile: the call is announced to the next one, which has to tell its end then.
-  if (const auto gone = GoneWithin(call.softswitch, *call.answered, limit)) {
-    if (!call.announced || *call.announced < *gone) return;
-    if (!settings_.reports && *over < *call.announced) return;
-    limit = std::max(limit, std::max(*call.announced, *over) + (call.ended ? kTellReleased : kTellUnsent) + kSlack);
+  if (!ended_at) return;
+  TimeUs limit = *deadline + kTimingTolerance;
+  if (call.released && *call.released <= limit) return CountCheck(Check::kCallEnd);
+  // If the process ended meanwhile, the call is announced to the next one, which then has to report the call's end.
+  if (const auto process_end = ProcessEndWithin(call.softswitch, *call.answered, limit)) {
+    if (!call.announced || *call.announced < *process_end) return;
+    if (!settings_.exchanges_report && *ended_at < *call.announced) return;
+    limit = std::max(limit, std::max(*call.announced, *ended_at) +
+                                (call.ended ? kReleaseReportTimeout : kSilentEndReportTimeout) + kTimingTolerance);
   }
-  // Its caller has to be there when it is told: at the latest moment, or as soon as it is there again.
-  const TimeUs last_second = limit - std::min(limit, kTellReleased + kSlack);
-  const auto reachable = Reachable(call.softswitch, call.host, std::max(*over, last_second), limit);
-  if (!reachable) return;
-  // The release came to a process that ended before the caller was there again: nobody knows it any more.
-  if (call.ended && GoneWithin(call.softswitch, *call.ended, *reachable)) return;
-  limit = std::max(limit, *reachable + kTellReleased + kSlack);
+  // The caller has to be connected to be notified: during the last moments before the limit, or once it reconnects.
+  const TimeUs notification_start = limit - std::min(limit, kReleaseReportTimeout + kTimingTolerance);
+  const auto reachable_since =
+      CallerReachableSince(call.softswitch, call.host, std::max(*ended_at, notification_start), limit);
+  if (!reachable_since) return;
+  // The process that received the release ended before the caller reconnected, so the release is lost.
+  if (call.ended && ProcessEndWithin(call.softswitch, *call.ended, *reachable_since)) return;
+  limit = std::max(limit, *reachable_since + kReleaseReportTimeout + kTimingTolerance);
   if (limit > end_) return;
-  Checked(Rule::kStandingEnd);
+  CountCheck(Check::kCallEnd);
   if (call.released && *call.released <= limit) return;
-  const std::string why = call.unsent  ? "over without a word"
-                          : call.ended ? "released by the exchange"
-                                       : "released by the softswitch";
-  Broken(Rule::kStandingEnd, limit, id,
-         why + " " + Milliseconds(limit - *over) + " before, and its caller was " +
-             (call.released ? "told " + Milliseconds(*call.released - limit) + " late" : std::string("not told")));
+  const std::string cause = call.ended_silently ? "ended without a release"
+                            : call.ended        ? "released by the exchange"
+                                                : "released by the softswitch";
+  AddViolation(
+      Check::kCallEnd, limit, id,
+      cause + " " + Milliseconds(limit - *ended_at) + " before, and its caller was " +
+          (call.released ? "notified " + Milliseconds(*call.released - limit) + " late" : std::string("not notified")));
 }
 
-void Judgement::CheckAttempts(const std::string& id, const CallHistory& call) {
+void VerdictBuilder::CheckAttempts(const std::string& id, const CallHistory& call) {
   for (std::size_t i = 0; i < call.attempts.size(); ++i) {
     const Attempt& attempt = call.attempts[i];
-    const std::optional<TimeUs> left = call.cancelled;
-    if (left) {
-      Checked(Rule::kClientGone);
-      if (attempt.arrived > *left + kClientGone + kSlack)
-        Broken(Rule::kClientGone, attempt.arrived, id,
-               "attempt " + Milliseconds(attempt.arrived - *left) + " after its client left");
+    const std::optional<TimeUs> cancelled = call.cancelled;
+    if (cancelled) {
+      CountCheck(Check::kClientGone);
+      if (attempt.arrived > *cancelled + kAbandonTimeout + kTimingTolerance)
+        AddViolation(Check::kClientGone, attempt.arrived, id,
+                     "attempt " + Milliseconds(attempt.arrived - *cancelled) + " after its client had cancelled");
     }
     if (i == 0) continue;
-    const Attempt& before = call.attempts[i - 1];
-    Checked(Rule::kOneAttempt);
-    if (!before.over || *before.over > attempt.arrived + kSlack)
-      Broken(Rule::kOneAttempt, attempt.arrived, id,
-             "sent to exchange " + std::to_string(attempt.exchange) + " while it is out at exchange " +
-                 std::to_string(before.exchange));
-    if (!before.over || !before.release_wait) continue;
-    Checked(Rule::kReleaseTime);
-    if (attempt.arrived + kSlack < *before.over + settings_.release_us)
-      Broken(Rule::kReleaseTime, attempt.arrived, id,
-             "sent again " + Milliseconds(attempt.arrived - std::min(attempt.arrived, *before.over)) +
-                 " after it was given up or reset");
+    const Attempt& previous = call.attempts[i - 1];
+    CountCheck(Check::kOneAttempt);
+    if (!previous.finished || *previous.finished > attempt.arrived + kTimingTolerance)
+      AddViolation(Check::kOneAttempt, attempt.arrived, id,
+                   "sent to exchange " + std::to_string(attempt.exchange) +
+                       " while its attempt was pending at exchange " + std::to_string(previous.exchange));
+    if (!previous.finished || !previous.needs_resend_guard) continue;
+    CountCheck(Check::kReleaseTime);
+    if (attempt.arrived + kTimingTolerance < *previous.finished + settings_.resend_guard_us)
+      AddViolation(Check::kReleaseTime, attempt.arrived, id,
+                   "sent again " + Milliseconds(attempt.arrived - std::min(attempt.arrived, *previous.finished)) +
+                       " after the previous attempt was abandoned or reset");
   }
 }
 
-std::optional<TimeUs> Judgement::ToldOfDrain(int softswitch, TimeUs listed, std::optional<TimeUs> written) const {
+std::optional<TimeUs> VerdictBuilder::DrainKnownSince(int softswitch, TimeUs listed,
+                                                      std::optional<TimeUs> written) const {
   TimeUs reachable = listed;
-  if (const auto away = discovery_away_.find(softswitch); away != discovery_away_.end()) {
-    for (const Interval& gap : away->second) {
-      if (gap.from <= reachable + kToldLatest && gap.to > reachable) reachable = gap.to;
+  if (const auto outages = discovery_outages_.find(softswitch); outages != discovery_outages_.end()) {
+    for (const Interval& outage : outages->second) {
+      if (outage.from <= reachable + kDirectoryUpdateTimeout && outage.to > reachable) reachable = outage.to;
     }
   }
-  std::optional<TimeUs> told = written;
-  if (reachable != ~TimeUs{0}) told = std::min(told.value_or(~TimeUs{0}), reachable + kToldLatest);
-  return told;
+  std::optional<TimeUs> known_since = written;
+  if (reachable != ~TimeUs{0})
+    known_since = std::min(known_since.value_or(~TimeUs{0}), reachable + kDirectoryUpdateTimeout);
+  return known_since;
 }
 
-void Judgement::CheckDrains() {
+void VerdictBuilder::CheckDrains() {
   for (const auto& [id, call] : calls_) {
     for (const Attempt& attempt : call.attempts) {
       const std::pair<int, int> key{call.softswitch, attempt.exchange};
       const auto listed = drain_listed_.find(key);
       if (listed == drain_listed_.end()) continue;
       const auto written = drain_written_.find(key);
-      const auto told =
-          ToldOfDrain(call.softswitch, listed->second,
-                      written == drain_written_.end() ? std::nullopt : std::optional<TimeUs>(written->second));
-      if (!told) continue;
-      Checked(Rule::kDrain);
-      if (attempt.arrived > *told + settings_.drain_grace_us + kSlack)
-        Broken(Rule::kDrain, attempt.arrived, id,
-               "sent to exchange " + std::to_string(attempt.exchange) + " " + Milliseconds(attempt.arrived - *told) +
-                   " after n" + std::to_string(call.softswitch) + " was told that it drains or is gone");
+      const auto known_since =
+          DrainKnownSince(call.softswitch, listed->second,
+                          written == drain_written_.end() ? std::nullopt : std::optional<TimeUs>(written->second));
+      if (!known_since) continue;
+      CountCheck(Check::kDrain);
+      if (attempt.arrived > *known_since + settings_.drain_grace_us + kTimingTolerance)
+        AddViolation(Check::kDrain, attempt.arrived, id,
+                     "sent to exchange " + std::to_string(attempt.exchange) + " " +
+                         Milliseconds(attempt.arrived - *known_since) + " after n" + std::to_string(call.softswitch) +
+                         " was notified that it drains or is gone");
     }
   }
 }
 
-void Judgement::CheckProcesses() {
+void VerdictBuilder::CheckProcesses() {
   std::map<int, TimeUs> started;
-  for (const TrafficEvent& event : events_) {
+  for (const TrialEvent& event : events_) {
     if (event.kind == EventKind::kStarted) started[event.softswitch] = event.at;
     if (event.kind == EventKind::kReady && started.count(event.softswitch) > 0) {
-      Checked(Rule::kRestart);
-      const TimeUs took = event.at - started[event.softswitch];
+      CountCheck(Check::kRestart);
+      const TimeUs start_up_time = event.at - started[event.softswitch];
       started.erase(event.softswitch);
-      if (took > kReadyWithin)
-        Broken(Rule::kRestart, event.at, "",
-               "n" + std::to_string(event.softswitch) + " ready after " + Milliseconds(took));
+      if (start_up_time > kReadyTimeout)
+        AddViolation(Check::kRestart, event.at, "",
+                     "n" + std::to_string(event.softswitch) + " ready after " + Milliseconds(start_up_time));
     }
     if (event.kind == EventKind::kKilled) started.erase(event.softswitch);
     if (event.kind == EventKind::kExited) {
       started.erase(event.softswitch);
-      if (event.value != 0 || !TerminatedBefore(event.softswitch, event.at))
-        Broken(Rule::kRestart, event.at, "",
-               "n" + std::to_string(event.softswitch) + " ended by itself with " + std::to_string(event.value));
+      if (event.value != 0 || !SigtermBefore(event.softswitch, event.at))
+        AddViolation(Check::kRestart, event.at, "",
+                     "n" + std::to_string(event.softswitch) + " exited without SIGTERM or with an error, status " +
+                         std::to_string(event.value));
     }
   }
   for (const auto& [softswitch, at] : started) {
-    if (at + kReadyWithin < end_)
-      Broken(Rule::kRestart, at + kReadyWithin, "", "n" + std::to_string(softswitch) + " not ready in time");
+    if (at + kReadyTimeout < end_)
+      AddViolation(Check::kRestart, at + kReadyTimeout, "", "n" + std::to_string(softswitch) + " not ready in time");
   }
 }
 
-void Judgement::CheckBadClients() {
-  for (const auto& [key, came] : bad_came_) {
-    const TimeUs due = came + kBadClientServed + kSlack;
-    const auto served = bad_served_.find(key);
-    if (served != bad_served_.end() && served->second <= due) {
-      Checked(Rule::kBadClient);
+void VerdictBuilder::CheckBadClients() {
+  for (const auto& [key, connected_at] : bad_clients_connected_) {
+    const TimeUs deadline = connected_at + kBadClientTimeout + kTimingTolerance;
+    const auto served = bad_clients_served_.find(key);
+    if (served != bad_clients_served_.end() && served->second <= deadline) {
+      CountCheck(Check::kBadClient);
       continue;
     }
-    if (due > end_ || GoneWithin(key.first, came, due)) continue;
-    Checked(Rule::kBadClient);
-    Broken(Rule::kBadClient, due, "",
-           "bad client " + std::to_string(key.second) + " of n" + std::to_string(key.first) + " heard nothing");
+    if (deadline > end_ || ProcessEndWithin(key.first, connected_at, deadline)) continue;
+    CountCheck(Check::kBadClient);
+    AddViolation(Check::kBadClient, deadline, "",
+                 "bad client " + std::to_string(key.second) + " of n" + std::to_string(key.first) +
+                     " was neither answered nor disconnected");
   }
 }
 
 }  // namespace
 
-std::string_view NameOf(Rule rule) { return kNames[static_cast<std::size_t>(rule)]; }
+std::string_view NameOf(Check check) { return kNames[static_cast<std::size_t>(check)]; }
 
-Verdict Judge(const std::vector<TrafficEvent>& events, const JudgeSettings& settings) {
-  return Judgement(events, settings).Give();
+Verdict Judge(const std::vector<TrialEvent>& events, const JudgeSettings& settings) {
+  return VerdictBuilder(events, settings).Build();
 }
 
 }  // namespace croftrun::lab::soak
--- a/src/lab/soak/judge.h
+++ b/src/lab/soak/judge.h
@@ -1,5 +1,5 @@
-// The judge of a soak trial: finds broken rules in what the stand-ins saw, and counts how often each rule was put to
-// the test. It is a function of the record alone.
+// The judge of a soak trial: checks the event log of the stand-ins for violations, and counts how often each check
+// applied. The verdict depends on the event log and the settings alone.
 #ifndef CROFTRUN_LAB_SOAK_JUDGE_H_
 #define CROFTRUN_LAB_SOAK_JUDGE_H_
 
@@ -14,53 +14,60 @@
 
 namespace croftrun::lab::soak {
 
-enum class Rule : std::uint8_t {
-  kFinalAnswer,  // one for each set-up taken, in time; nothing after it, nothing that nobody made
-  kStandingEnd,  // the end of a standing call is told: 1 s after its release, 8 s after its end
-  kOneAttempt,   // never two attempts of a call out at once
-  kDrain,        // nothing new to an exchange later than the grace after being told
-  kReleaseTime,  // no resend within the release time of a time-out, reset or cancel
-  kClientGone,   // no attempt begins over 0.1 s after its client left or cancelled
-  kBadClient,    // a client that misbehaves is answered or closed within 3 s
-  kShutdown,     // what is unanswered at the kill
-  kNeedlessCut,  // a call that stands at an exchange that works is not cut
-  kRestart,      // a restarted process is ready within 10 s; none ends by itself
-  kLimits,       // descriptors and memory
-  kColdStart,    // a cold exchange is not pushed over, all softswitches together
+// The names that are printed for the checks are in judge.cpp.
+enum class Check : std::uint8_t {
+  kFinalAnswer,  // each accepted set-up gets exactly one final answer in time, and an answer comes from an exchange
+  kCallEnd,      // the caller is notified of a call's end: within 1 s of its release, 8 s if no release was sent
+  kOneAttempt,   // a call never has two attempts outstanding
+  kDrain,        // an exchange gets no new set-up once the grace time after the drain notification is over
+  kReleaseTime,  // no resend within the resend guard time after a time-out, a reset or a cancellation
+  kClientGone,   // no attempt starts more than 0.1 s after the client disconnected or cancelled
+  kBadClient,    // a misbehaving client is answered or disconnected within 3 s
+  kShutdown,     // no accepted set-up is unanswered when a terminated process is killed
+  kNeedlessDisconnect,  // the softswitch does not disconnect an established call at a working exchange
+  kRestart,             // a started process is ready within 10 s, and none exits without having been terminated
+  kResources,           // open descriptors and resident memory stay within their limits
+  kColdStart,           // the softswitches together do not overload an exchange that is warming up
 };
-inline constexpr std::size_t kRules = 12;
-std::string_view NameOf(Rule rule);
+inline constexpr std::size_t kCheckCount = 12;
+// Returns the printed name of a check.
+std::string_view NameOf(Check check);
 
+// Limits and expectations of the checks.
 struct JudgeSettings {
-  TimeUs release_us = 300'000;
+  TimeUs resend_guard_us = 300'000;
   TimeUs drain_grace_us = 500'000;
-  std::int64_t most_descriptors = 256;
-  std::int64_t most_megabytes = 64;
-  // Faults after which a cut of a call that stands may be the best that can be done: resets without a death, ways cut
-  // for long. Where none is in the script, every such cut counts.
-  bool cuts_may_be_needed = false;
-  // Exchanges report their circuits. Without reports nobody can tell that a call was over before the process began to
-  // which it is announced.
-  bool reports = true;
+  std::int64_t max_descriptors = 256;
+  std::int64_t max_megabytes = 64;
+  // The schedule has faults after which disconnecting an established call may be the best choice: connections that are
+  // reset although the exchange's process lives, and long network interruptions. Without such faults, each disconnect
+  // of a call by the softswitch is a violation.
+  bool disconnects_may_be_needed = false;
+  // Exchanges report their circuits. Without reports a softswitch cannot find out that an announced call had ended
+  // before its own process was started.
+  bool exchanges_report = true;
   ColdStartSettings cold_start = {};
 };
 
-struct Finding {
-  Rule rule = Rule::kFinalAnswer;
+// A failed check; `call` is empty where the violation does not concern a single call.
+struct Violation {
+  Check check = Check::kFinalAnswer;
   TimeUs at = 0;
   std::string call = {};
   std::string text;
 };
 
+// The result of a trial.
 struct Verdict {
-  std::vector<Finding> findings;
-  std::array<std::size_t, kRules> checked{};  // by rule
-  std::size_t offered = 0, answered = 0;      // set-ups, and those that stood
-  std::size_t needless_cuts = 0;              // counted also where they may be needed
-  std::size_t connections = 0, probes = 0;    // of softswitches to exchanges
+  std::vector<Violation> violations;
+  std::array<std::size_t, kCheckCount> checked{};  // how often each check applied
+  std::size_t offered = 0, answered = 0;           // set-ups sent by clients, and those of them that were answered
+  std::size_t needless_disconnects = 0;            // counted also where `disconnects_may_be_needed`
+  std::size_t connections = 0, probes = 0;         // from softswitches to exchanges
 };
 
-Verdict Judge(const std::vector<TrafficEvent>& events, const JudgeSettings& settings);
+// Judges the events of one trial, which are in the order of time.
+Verdict Judge(const std::vector<TrialEvent>& events, const JudgeSettings& settings);
 
 }  // namespace croftrun::lab::soak
 
--- a/src/lab/soak/line_client.cpp
+++ b/src/lab/soak/line_client.cpp
@@ -20,27 +20,27 @@
 
   void Read() {
     socket.async_read_some(asio::buffer(octets), [self = shared_from_this()](const error_code& error, std::size_t got) {
-      if (self->over) return;
+      if (self->closed) return;
       if (error) return self->End(error == asio::error::eof ? ConnectionEnd::kClosed : ConnectionEnd::kReset);
-      self->text.append(self->octets.data(), got);
-      self->TellLines();
-      if (!self->over) self->Read();
+      self->input.append(self->octets.data(), got);
+      self->DeliverLines();
+      if (!self->closed) self->Read();
     });
   }
-  void TellLines() {
+  void DeliverLines() {
     std::size_t from = 0;
-    for (std::size_t end = 0; !over && (end = text.find('\n', from)) != std::string::npos; from = end + 1) {
-      handlers.on_line(std::string_view(text).substr(from, end - from));
+    for (std::size_t end = 0; !closed && (end = input.find('\n', from)) != std::string::npos; from = end + 1) {
+      handlers.on_line(std::string_view(input).substr(from, end - from));
     }
-    text.erase(0, from);
+    input.erase(0, from);
   }
   void Flush() {
-    if (writing || output.empty() || !open || over) return;
+    if (writing || output.empty() || !open || closed) return;
     writing = true;
     sending = std::exchange(output, {});
     asio::async_write(socket, asio::buffer(sending), [self = shared_from_this()](const error_code& error, std::size_t) {
       self->writing = false;
-      if (self->over || error) return;  // the reader tells of the end
+      if (self->closed || error) return;  // Read reports the end of the connection
       if (self->output.empty() && !self->in_pieces && self->handlers.on_written) self->handlers.on_written();
       self->Flush();
     });
@@ -50,7 +50,7 @@
     handlers.on_end(end);
   }
   void Close() {
-    over = true;
+    closed = true;
     open = false;
     error_code ignored;
     socket.close(ignored);
@@ -61,9 +61,9 @@
   asio::steady_timer timer;
   LineClientHandlers handlers;
   std::array<char, 8192> octets{};
-  std::string text, output, sending;
-  std::string later;  // the second piece, and what was written after the first
-  bool open = false, over = false, writing = false, in_pieces = false;
+  std::string input, output, sending;
+  std::string deferred;  // the second piece, and data written after the first piece
+  bool open = false, closed = false, writing = false, in_pieces = false;
 };
 
 LineClient::LineClient(asio::io_context* context, std::uint32_t source, const core::Address& to,
@@ -73,13 +73,13 @@
   state_->socket.open(tcp::v4(), error);
   state_->socket.bind({asio::ip::address_v4(source), 0}, error);
   state_->socket.async_connect(runtime::EndpointOf<tcp>(to), [state = state_](const error_code& failed) {
-    if (state->over) return;
+    if (state->closed) return;
     if (failed) return state->End(ConnectionEnd::kRefused);
     error_code ignored;
     state->socket.set_option(tcp::no_delay(true), ignored);
     state->open = true;
     if (state->handlers.on_open) state->handlers.on_open();
-    if (state->over) return;
+    if (state->closed) return;
     state->Flush();
     state->Read();
   });
@@ -89,11 +89,11 @@
 
 bool LineClient::open() const { return state_->open; }
 
-bool LineClient::in_pieces() const { return state_->in_pieces; }
+bool LineClient::writing_in_pieces() const { return state_->in_pieces; }
 
 void LineClient::Write(const std::string& octets) {
-  if (state_->over) return;
-  (state_->in_pieces ? state_->later : state_->output) += octets;
+  if (state_->closed) return;
+  (state_->in_pieces ? state_->deferred : state_->output) += octets;
   state_->Flush();
 }
 
@@ -102,23 +102,23 @@
   const std::size_t half = octets.size() / 2;
   Write(octets.substr(0, half));
   state_->in_pieces = true;
-  state_->later = octets.substr(half);
+  state_->deferred = octets.substr(half);
   state_->timer.expires_after(std::chrono::microseconds(gap));
   state_->timer.async_wait([state = state_](const error_code& cancelled) {
-    if (cancelled || state->over) return;
+    if (cancelled || state->closed) return;
     state->in_pieces = false;
-    state->output += std::exchange(state->later, {});
+    state->output += std::exchange(state->deferred, {});
     state->Flush();
   });
 }
 
 void LineClient::HalfClose() {
   error_code ignored;
-  if (!state_->over) state_->socket.shutdown(tcp::socket::shutdown_send, ignored);
+  if (!state_->closed) state_->socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
 void LineClient::Reset() {
-  if (state_->over) return;
+  if (state_->closed) return;
   error_code ignored;
   state_->socket.set_option(asio::socket_base::linger(true, 0), ignored);
   state_->Close();
--- a/src/lab/soak/line_client.h
+++ b/src/lab/soak/line_client.h
@@ -1,5 +1,5 @@
-// A client's connection whose source address and whose last moments are chosen: lines are written at once or in pieces,
-// and the connection can be closed in order, half-closed or reset.
+// A client's connection from a chosen source address. Lines can be written at once or in two pieces, and the connection
+// can be closed, half-closed or reset.
 #ifndef CROFTRUN_LAB_SOAK_LINE_CLIENT_H_
 #define CROFTRUN_LAB_SOAK_LINE_CLIENT_H_
 
@@ -13,20 +13,23 @@
 
 namespace croftrun::lab::soak {
 
+// How a connection ended.
 enum class ConnectionEnd : std::uint8_t { kRefused, kClosed, kReset };
 
+// Callbacks of a LineClient.
 struct LineClientHandlers {
   std::function<void()> on_open;
   std::function<void(std::string_view line)> on_line;
-  // Once, and not after this side has closed it.
+  // Called once; not called after this side has closed the connection.
   std::function<void(ConnectionEnd end)> on_end;
-  // What was written before has left this process whole.
+  // All that was written so far has been handed to the kernel.
   std::function<void()> on_written = nullptr;
 };
 
+// One connection of a client, closed when it is destroyed.
 class LineClient {
  public:
-  // Connects from `source`, with a port of the system's choice, to `to`.
+  // Connects from `source`, with a port chosen by the system, to `to`.
   LineClient(boost::asio::io_context* context, std::uint32_t source, const core::Address& to,
              LineClientHandlers handlers);
   ~LineClient();
@@ -34,12 +37,14 @@
   LineClient& operator=(const LineClient&) = delete;
 
   bool open() const;
-  // A set-up is half written: nothing else can be said now.
-  bool in_pieces() const;
+  // The second piece of a line is still to be written: other data can be sent only after it.
+  bool writing_in_pieces() const;
   void Write(const std::string& octets);
-  // In two pieces, the second so much later.
+  // Writes two pieces, the second one after `gap`.
   void WriteInPieces(const std::string& octets, TimeUs gap);
+  // Closes the sending half.
   void HalfClose();
+  // Closes the connection with a reset.
   void Reset();
 
  private:
--- a/src/lab/soak/script.h
+++ b/src/lab/soak/script.h
@@ -1,5 +1,5 @@
-// What a soak trial plays, drawn from a seed: a fleet, its settings, its traffic and a list of faults. The same seed
-// gives the same script.
+// The schedule of a soak trial, generated from a seed: the fleet, its settings, its traffic and the faults to inject.
+// The same seed always gives the same schedule.
 #ifndef CROFTRUN_LAB_SOAK_SCRIPT_H_
 #define CROFTRUN_LAB_SOAK_SCRIPT_H_
 
@@ -14,70 +14,81 @@
 
 namespace croftrun::lab::soak {
 
+// Kinds of faults; their printed names are in script.cpp.
 enum class FaultKind : std::uint8_t {
-  kVanish,           // an exchange's machine: silent, new connections never up, its calls over
-  kVanishAndReturn,  // the same for a while; then another process is there, cold
-  kDie,              // an exchange's process: connections reset, then refused, back after a while
-  kReplace,          // an exchange's process dies and another is at its address at once, with another name
-  kHang,             // an exchange reads and writes nothing for a while
-  kDrain,            // discovery lists an exchange as terminating, then as gone, and it ends
-  kCutExchange,      // no octet passes between an exchange and any softswitch for a while
-  kCutOneWay,        // the same towards one softswitch and in one direction
+  kVanish,           // an exchange's host is lost: it is silent, new connections never open, its calls are over
+  kVanishAndReturn,  // an exchange's host is lost for a while; then a new process, cold, is at its address
+  kDie,              // an exchange's process crashes: connections are reset, then refused until it is restarted
+  kReplace,          // an exchange's process crashes; at once another one with another name is at its address
+  kHang,             // an exchange sends nothing for a while
+  kDrain,            // discovery lists an exchange as terminating, then as gone, and its process exits
+  kCutExchange,      // nothing is forwarded between an exchange and all softswitches for a while
+  kCutOneWay,        // nothing is forwarded between an exchange and one softswitch in one direction for a while
   kReset,            // connections to an exchange are reset; its process lives
-  kForgetIdle,       // an exchange forgets its idle connections without a word
+  kForgetIdle,       // an exchange loses the state of its idle connections without closing them
   kCloseIdle,        // an exchange closes its idle connections
-  kLateConnections,  // connections to an exchange come up late, or never
-  kHalfClose,        // an exchange closes its half of all connections
-  kTrickle,          // octets to and from an exchange go in pieces
-  kSpoil,            // an exchange spoils, repeats or never gives answers for a while
+  kLateConnections,  // new connections to an exchange open late, or never
+  kHalfClose,        // an exchange closes the sending half of all connections
+  kTrickle,          // data to and from an exchange is forwarded in small pieces
+  kSpoil,            // an exchange sends malformed or duplicate answers, or none, for a while
   kDiscoveryDown,    // discovery refuses connections
-  kDiscoverySilent,  // discovery keeps connections open and says nothing
-  kReconfigure,      // new configurations in quick succession, with SIGHUP; the last moves discovery
-  kTerminate,        // SIGTERM, SIGKILL at the earliest, a new process
-  kKill,             // SIGKILL outright, a new process
-  kBadClients,       // a handful of clients that misbehave
-  kCrowd,            // several times the calls, over more connections
-  kLeavers,          // clients give up early
+  kDiscoverySilent,  // discovery keeps its connections open and sends nothing
+  kReconfigure,      // several new configurations in quick succession, with SIGHUP; the last one moves discovery
+  kTerminate,        // SIGTERM, SIGKILL as early as is allowed, then a new process
+  kKill,             // SIGKILL without SIGTERM, then a new process
+  kBadClients,       // a few clients that misbehave
+  kCrowd,            // several times the call rate, over more connections
+  kLeavers,          // more clients cancel or disconnect early
 };
-inline constexpr std::size_t kFaultKinds = 23;
+inline constexpr std::size_t kFaultKindCount = 23;
+// Returns the printed name of a kind.
 std::string_view NameOf(FaultKind kind);
-std::optional<FaultKind> FaultNamed(std::string_view name);
+// Returns nothing for an unknown name.
+std::optional<FaultKind> ParseFaultKind(std::string_view name);
 
+// A fault to inject.
 struct Fault {
-  TimeUs at = 0;  // after the first call
+  TimeUs at = 0;  // after the start of the traffic
   FaultKind kind = FaultKind::kVanish;
-  int target = 0;  // slot of an exchange or index of a softswitch, by kind
-  TimeUs length = 0;
+  int target = 0;  // index of an exchange or a softswitch, depending on the kind
+  TimeUs duration = 0;
 };
 
-struct Script {
+// The schedule of one trial.
+struct Schedule {
   std::uint64_t seed = 1;
   int softswitches = 3, exchanges = 5;
-  TimeUs length = 20'000'000;     // of the calls; then nothing new comes and what stands may end
-  std::vector<TimeUs> deadlines;  // by class
+  TimeUs traffic_duration = 20'000'000;  // then no new calls are placed, and established calls may end
+  std::vector<TimeUs> deadlines;         // by class of call
   bool probes = true;
   bool retry_after = false;
-  TimeUs release_us = 300'000, drain_grace_us = 500'000;
+  TimeUs resend_guard_us = 300'000, drain_grace_us = 500'000;
   ClientTraits clients;
   ExchangeTraits exchange;
-  std::vector<Fault> faults;  // by time
+  std::vector<Fault> faults;  // sorted by time
 
-  TimeUs longest_deadline() const;
-  // SIGKILL comes so much after SIGTERM.
-  TimeUs kill_after() const;
+  // The longest deadline of any class of call.
+  TimeUs max_deadline() const;
+  // Time from SIGTERM to SIGKILL when a softswitch is terminated.
+  TimeUs kill_delay() const;
+  // True if the schedule has a fault of this kind.
   bool Has(FaultKind kind) const;
-  // Of all softswitches at one exchange, those of a crowd included, redials left out.
-  double usual_set_ups_per_s() const;
+  // Rate at which one exchange receives set-ups from all softswitches in normal operation, including those of a crowd
+  // but not redials.
+  double nominal_set_ups_per_s() const;
 };
-// A crowd places so many times the calls.
+// Factor by which a crowd raises the call rate.
 inline constexpr double kCrowdFactor = 6.0;
 
-struct DrawOptions {
-  std::vector<FaultKind> only;  // none: all
-  std::vector<FaultKind> without;
+// Selects the kinds of faults that a schedule may have.
+struct GeneratorOptions {
+  std::vector<FaultKind> only;     // kinds to generate; all if empty
+  std::vector<FaultKind> without;  // kinds to leave out
 };
 
-Script DrawScript(std::uint64_t seed, const DrawOptions& options);
+// Generates the schedule for a seed.
+Schedule GenerateSchedule(std::uint64_t seed, const GeneratorOptions& options);
+// Describes a fault with its time, target and duration.
 std::string ToString(const Fault& fault);
 
 }  // namespace croftrun::lab::soak
--- a/src/lab/soak/slot_lease.cpp
+++ b/src/lab/soak/slot_lease.cpp
@@ -20,7 +20,7 @@
     if (::flock(file_, LOCK_EX | LOCK_NB) == 0) return;
     ::close(file_);
   }
-  throw std::runtime_error("all address ranges of soak trials are taken");
+  throw std::runtime_error("all address ranges of soak trials are in use");
 }
 
 SlotLease::~SlotLease() { ::close(file_); }
--- a/src/lab/soak/slot_lease.h
+++ b/src/lab/soak/slot_lease.h
@@ -1,4 +1,4 @@
-// The address range of a trial, held against other trials on this machine for as long as the lease lives.
+// A lease of an address range for one trial. While it exists, no other trial on this machine uses the range.
 #ifndef CROFTRUN_LAB_SOAK_SLOT_LEASE_H_
 #define CROFTRUN_LAB_SOAK_SLOT_LEASE_H_
 
@@ -8,7 +8,7 @@
 
 class SlotLease {
  public:
-  // The first free slot from `preferred` on. Throws std::runtime_error where all are taken.
+  // Takes the first free slot, starting with `preferred`. Throws std::runtime_error if all are in use.
   explicit SlotLease(int preferred);
   ~SlotLease();
   SlotLease(const SlotLease&) = delete;
--- a/src/lab/soak/softswitch_process.cpp
+++ b/src/lab/soak/softswitch_process.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 constexpr long kMegabyte = 1L << 20;
-// Exit code of a child that could not be made the softswitch, as a shell has it.
-constexpr int kNotStarted = 127;
+// Exit code of a child that could not execute the softswitch; the same as a shell's.
+constexpr int kExecFailedExitCode = 127;
 
 }  // namespace
 
@@ -30,12 +30,12 @@
 SoftswitchProcess::~SoftswitchProcess() { Kill(); }
 
 void SoftswitchProcess::WriteConfiguration(const std::string& json) const {
-  const std::string fresh = configuration_ + ".new";
-  std::ofstream(fresh) << json << "\n";
-  std::filesystem::rename(fresh, configuration_);
+  const std::string temporary = configuration_ + ".new";
+  std::ofstream(temporary) << json << "\n";
+  std::filesystem::rename(temporary, configuration_);
 }
 
-void SoftswitchProcess::SpoilConfiguration() const { std::ofstream(configuration_) << "{\"listen\":"; }
+void SoftswitchProcess::CorruptConfiguration() const { std::ofstream(configuration_) << "{\"listen\":"; }
 
 void SoftswitchProcess::Start() {
   std::string option = "--platform";
@@ -46,51 +46,51 @@
   environment.push_back(configuration.data());
   environment.push_back(nullptr);
   const pid_t parent = ::getpid();
-  process_ = ::fork();
-  if (process_ < 0) throw std::runtime_error("cannot start " + program_ + ": fork failed");
-  if (process_ > 0) return;
-  // Only what is safe between fork and exec in a program with threads. The child ends with this program, however that
-  // ends.
+  pid_ = ::fork();
+  if (pid_ < 0) throw std::runtime_error("cannot start " + program_ + ": fork failed");
+  if (pid_ > 0) return;
+  // In a program with threads, the child may only make async-signal-safe calls between fork and exec. The child is
+  // killed when this program ends for any reason.
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != parent) ::_exit(kNotStarted);
+  if (::getppid() != parent) ::_exit(kExecFailedExitCode);
   const int log = ::open(log_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
   ::dup2(log, STDERR_FILENO);
   ::close_range(3, ~0U, 0);
   ::execve(program_.c_str(), arguments, environment.data());
-  ::_exit(kNotStarted);
+  ::_exit(kExecFailedExitCode);
 }
 
 void SoftswitchProcess::Signal(int number) const {
-  if (process_ != 0) ::kill(process_, number);
+  if (pid_ != 0) ::kill(pid_, number);
 }
 
 void SoftswitchProcess::Kill() {
-  if (process_ == 0) return;
-  ::kill(process_, SIGKILL);
-  ::waitpid(process_, nullptr, 0);
-  process_ = 0;
+  if (pid_ == 0) return;
+  ::kill(pid_, SIGKILL);
+  ::waitpid(pid_, nullptr, 0);
+  pid_ = 0;
 }
 
-std::optional<int> SoftswitchProcess::Exited() {
+std::optional<int> SoftswitchProcess::PollExit() {
   int status = 0;
-  if (process_ == 0 || ::waitpid(process_, &status, WNOHANG) != process_) return std::nullopt;
-  process_ = 0;
+  if (pid_ == 0 || ::waitpid(pid_, &status, WNOHANG) != pid_) return std::nullopt;
+  pid_ = 0;
   return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
-int SoftswitchProcess::Descriptors() const {
-  if (process_ == 0) return 0;
+int SoftswitchProcess::OpenDescriptors() const {
+  if (pid_ == 0) return 0;
   std::error_code error;
   int count = 0;
-  std::filesystem::directory_iterator entries("/proc/" + std::to_string(process_) + "/fd", error);
+  std::filesystem::directory_iterator entries("/proc/" + std::to_string(pid_) + "/fd", error);
   for (; !error && entries != std::filesystem::directory_iterator(); entries.increment(error)) ++count;
   return count;
 }
 
 int SoftswitchProcess::ResidentMegabytes() const {
-  std::ifstream file("/proc/" + std::to_string(process_) + "/statm");
-  long whole = 0, resident = 0;
-  file >> whole >> resident;
+  std::ifstream file("/proc/" + std::to_string(pid_) + "/statm");
+  long total = 0, resident = 0;
+  file >> total >> resident;
   return static_cast<int>(resident * ::sysconf(_SC_PAGESIZE) / kMegabyte);
 }
 
--- a/src/lab/soak/softswitch_process.h
+++ b/src/lab/soak/softswitch_process.h
@@ -1,4 +1,4 @@
-// A softswitch of a soak trial: a real process, started from a configuration file, signalled and reaped.
+// A softswitch of a soak trial: a real process that is started with a configuration file, signalled and reaped.
 #ifndef CROFTRUN_LAB_SOAK_SOFTSWITCH_PROCESS_H_
 #define CROFTRUN_LAB_SOAK_SOFTSWITCH_PROCESS_H_
 
@@ -9,33 +9,35 @@
 
 namespace croftrun::lab::soak {
 
+// Controls the process of one softswitch, which is killed when this object is destroyed.
 class SoftswitchProcess {
  public:
-  // `program` is croftrun-edge; configuration and log go to `folder`, named after `name`.
+  // `program` is the path of croftrun-edge. Configuration and log are NAME.json and NAME.log in `folder`.
   SoftswitchProcess(std::string program, const std::string& folder, const std::string& name);
   ~SoftswitchProcess();
   SoftswitchProcess(const SoftswitchProcess&) = delete;
   SoftswitchProcess& operator=(const SoftswitchProcess&) = delete;
 
-  // Replaces the configuration file in one step.
+  // Replaces the configuration file atomically.
   void WriteConfiguration(const std::string& json) const;
-  // Writes octets that are no configuration.
-  void SpoilConfiguration() const;
-  // Throws std::runtime_error where it cannot be started. Its log is appended to.
+  // Overwrites the configuration file with invalid JSON.
+  void CorruptConfiguration() const;
+  // Starts the process; it appends to its log. Throws std::runtime_error if that fails.
   void Start();
+  // Sends a signal if the process is running.
   void Signal(int number) const;
-  // SIGKILL, and waits for it.
+  // Sends SIGKILL and waits for the end of the process.
   void Kill();
-  bool running() const { return process_ != 0; }
-  // Once it has ended by itself: its exit code, or minus the signal.
-  std::optional<int> Exited();
-  // Open descriptors and resident megabytes; 0 where it is not running.
-  int Descriptors() const;
+  bool running() const { return pid_ != 0; }
+  // Reaps the process if it has exited: returns its exit code, or the negative signal number. Does not wait.
+  std::optional<int> PollExit();
+  // Open descriptors and resident megabytes; 0 if it is not running.
+  int OpenDescriptors() const;
   int ResidentMegabytes() const;
 
  private:
   std::string program_, configuration_, log_;
-  pid_t process_ = 0;
+  pid_t pid_ = 0;
 };
 
 }  // namespace croftrun::lab::soak
--- a/src/lab/soak/traffic.cpp
+++ b/src/lab/soak/traffic.cpp
@@ -8,24 +8,24 @@
 
 constexpr std::array<std::string_view, 33> kNames{"client sends set-up",
                                                   "client cancels set-up",
-                                                  "client reads answer",
-                                                  "client reads release",
+                                                  "client receives answer",
+                                                  "client receives release",
                                                   "client releases",
-                                                  "client announces standing call",
+                                                  "client announces established call",
                                                   "client connects",
-                                                  "client connection ends",
-                                                  "connection ends under set-up",
+                                                  "client connection closed",
+                                                  "connection closed before answer",
                                                   "bad client connects",
-                                                  "bad client answered",
-                                                  "client reads what is no message",
-                                                  "exchange gets set-up",
+                                                  "bad client answered or disconnected",
+                                                  "client receives malformed line",
+                                                  "exchange receives set-up",
                                                   "exchange answers",
                                                   "exchange refuses",
-                                                  "set-up given up",
+                                                  "set-up abandoned",
                                                   "set-up reset by fault",
-                                                  "call over, release sent",
-                                                  "call over, no release sent",
-                                                  "exchange gets release",
+                                                  "call ended, release sent",
+                                                  "call ended, no release sent",
+                                                  "exchange receives release",
                                                   "softswitch connects",
                                                   "softswitch probes",
                                                   "exchange starts cold",
@@ -34,23 +34,23 @@
                                                   "SIGTERM",
                                                   "SIGKILL",
                                                   "softswitch exits",
-                                                  "limits",
+                                                  "resource usage",
                                                   "discovery lists drain",
-                                                  "discovery writes drain",
-                                                  "discovery writes start",
-                                                  "discovery away"};
+                                                  "discovery sends drain",
+                                                  "discovery sends cold start",
+                                                  "discovery unavailable"};
 
 }  // namespace
 
 std::string_view NameOf(EventKind kind) {
   const auto index = static_cast<std::size_t>(kind);
   if (index < kNames.size()) return kNames[index];
-  return kind == EventKind::kDiscoveryBack ? "discovery back" : "fault";
+  return kind == EventKind::kDiscoveryAvailable ? "discovery available" : "fault";
 }
 
-std::string ToString(const TrafficEvent& event, TimeUs start) {
+std::string ToString(const TrialEvent& event, TimeUs start_time) {
   char time[32];
-  std::snprintf(time, sizeof(time), "%9.3f ", (static_cast<double>(event.at) - static_cast<double>(start)) / 1e6);
+  std::snprintf(time, sizeof(time), "%9.3f ", (static_cast<double>(event.at) - static_cast<double>(start_time)) / 1e6);
   std::string line = time;
   line += NameOf(event.kind);
   if (event.softswitch >= 0) line += " n" + std::to_string(event.softswitch);
--- a/src/lab/soak/traffic.h
+++ b/src/lab/soak/traffic.h
@@ -1,7 +1,7 @@
-// What the stand-ins of a soak trial saw on their sockets, as one list of events in the order of time.
+// The event log of a soak trial: what the stand-ins observed on their sockets, in the order of time.
 //
-// The judge (soak/judge.h) reads nothing else: no log and no counter of the softswitch. Every event names the
-// softswitch or the exchange that it concerns by its index, and the call by the id that its set-up carried.
+// It is the only input of the judge (soak/judge.h), which reads no log and no counter of the softswitch. An event names
+// the softswitch and the exchange that it concerns by their indexes, and the call by the id in its set-up.
 #ifndef CROFTRUN_LAB_SOAK_TRAFFIC_H_
 #define CROFTRUN_LAB_SOAK_TRAFFIC_H_
 
@@ -14,50 +14,54 @@
 
 namespace croftrun::lab::soak {
 
+// Kinds of events; `value`, `text` and the other names in quotes are members of TrialEvent.
 enum class EventKind : std::uint8_t {
   // Clients.
-  kSetUpSent,        // its last octet was written to an accepted connection; `value`: the client's wait in microseconds
-  kSetUpCancelled,   // the client cancelled the set-up or closed the connection under it
-  kAnswerRead,       // the client read that the call stands; `text`: the description
-  kReleaseRead,      // the client read a release; `value`: its cause; `text`: that it was not acknowledged
-  kReleaseSent,      // the client released a call that stands
-  kCallAnnounced,    // a set-up with `at` was written, after a restart of the softswitch
-  kClientConnected,  // a connection on which the client stays; `host`
-  kClientClosed,     // and its end
-  kClosedOnSetUp,    // the far end closed or reset the connection with this set-up unanswered; `text`: how
-  kBadClientCame,    // a client that misbehaves connected; `value`: its number
-  kBadClientServed,  // it was answered or closed; `value`: its number
-  kUnreadable,       // a line that is no message reached a client
+  kSetUpSent,           // all of it was written to an open connection; `value`: the caller timeout in microseconds
+  kSetUpCancelled,      // the client cancelled the set-up or closed its connection
+  kAnswerReceived,      // the client received the answer of the call; `text`: the description
+  kReleaseReceived,     // the client received a release; `value`: its cause; `text`: set if it was not acknowledged
+  kReleaseSent,         // the client released an established call
+  kCallAnnounced,       // the client announced an established call (a set-up with `at`) to a restarted softswitch
+  kClientConnected,     // a client's connection opened; `host`
+  kClientClosed,        // a client's connection closed; `host`
+  kClosedBeforeAnswer,  // the softswitch closed or reset the connection of this unanswered set-up; `text`: which of
+                        // both
+  kBadClientConnected,  // a misbehaving client connected; `value`: its number
+  kBadClientServed,     // a misbehaving client was answered or disconnected; `value`: its number
+  kMalformedLine,       // a client received a line that is not a message
   // Exchanges.
-  kAttemptArrived,    // a set-up arrived whole; `exchange`; `value`: microseconds that a fault on its way held it back
-  kAttemptAnswered,   // the exchange wrote that the call stands
-  kAttemptRefused,    // the exchange wrote a release before the answer
-  kAttemptGivenUp,    // the softswitch gave the set-up up, or its connection ended
-  kAttemptReset,      // a fault reset the connection under it
-  kCallEnded,         // it stood and is over, and its release was written to a working connection
-  kCallEndedUnsent,   // it stood and is over, and no release could be sent
-  kCallReleased,      // the softswitch released it
-  kConnectionOpened,  // a softswitch connected to this exchange; `value`: number of connections now open
-  kProbeArrived,      // a test of a softswitch arrived
-  kColdStart,         // its process begins, cold, while the trial runs
+  kAttemptArrived,     // a complete set-up arrived; `value`: microseconds by which an injected fault delayed it
+  kAttemptAnswered,    // the exchange sent the answer
+  kAttemptRefused,     // the exchange sent a release instead of an answer
+  kAttemptAbandoned,   // the softswitch cancelled the set-up, or its connection closed
+  kAttemptReset,       // an injected fault reset its connection
+  kCallEnded,          // an established call ended, and its release was sent on a working connection
+  kCallEndedSilently,  // an established call ended, and no release could be sent
+  kCallReleased,       // the softswitch released an established call
+  kConnectionOpened,   // a softswitch connected to this exchange; `value`: its connections now open
+  kProbeArrived,       // a probe of a softswitch arrived
+  kColdStart,          // the exchange's process started, cold, during the trial
   // Softswitches and discovery.
   kStarted,
   kReady,
-  kTerminateSent,  // SIGTERM; `value`: microseconds until the kill at the earliest
-  kKilled,         // SIGKILL, by plan or outright
-  kExited,         // it ended by itself; `value`: exit code, or minus the signal
-  kLimits,         // `value`: descriptors open; `exchange`: resident megabytes
-  kDrainListed,    // discovery has it: `exchange` drains or is gone
-  kDrainWritten,   // and has written it to the watch of `softswitch`
-  kStartWritten,   // it has written the late start of `exchange` to the watch of `softswitch`
-  kDiscoveryAway,
-  kDiscoveryBack,
-  kFault,  // `text` names it
+  kSigtermSent,       // SIGTERM; `value`: microseconds until SIGKILL at the earliest
+  kKilled,            // SIGKILL, after SIGTERM or without
+  kExited,            // the process exited; `value`: its exit code, or the negative signal number
+  kResourceUsage,     // `value`: open descriptors; `exchange`: resident megabytes
+  kDrainListed,       // discovery lists `exchange` as draining or gone
+  kDrainWritten,      // discovery sent the drain of `exchange` to `softswitch`
+  kColdStartWritten,  // discovery sent the cold start of `exchange` to `softswitch`
+  kDiscoveryUnavailable,
+  kDiscoveryAvailable,
+  kFault,  // a fault was injected; `text` describes it
 };
 
+// Returns the name of a kind as timelines show it.
 std::string_view NameOf(EventKind kind);
 
-struct TrafficEvent {
+// One event; members that do not apply keep their defaults.
+struct TrialEvent {
   TimeUs at = 0;
   EventKind kind = EventKind::kFault;
   int softswitch = -1;
@@ -68,24 +72,24 @@
   std::string text = {};
 };
 
-// The events of one trial, in the order in which they were noted.
-class TrafficRecord {
+// The events of one trial, in the order in which they were recorded.
+class EventLog {
  public:
-  explicit TrafficRecord(core::Runtime* runtime) : runtime_(runtime) {}
-  // `event.at` is set to the present.
-  void Note(TrafficEvent event) {
+  explicit EventLog(core::Runtime* runtime) : runtime_(runtime) {}
+  // Appends an event; `event.at` is set to the current time.
+  void Append(TrialEvent event) {
     event.at = runtime_->Now();
     events_.push_back(std::move(event));
   }
-  const std::vector<TrafficEvent>& events() const { return events_; }
+  const std::vector<TrialEvent>& events() const { return events_; }
 
  private:
   core::Runtime* runtime_;
-  std::vector<TrafficEvent> events_;
+  std::vector<TrialEvent> events_;
 };
 
-// One line of text, with seconds since `start`.
-std::string ToString(const TrafficEvent& event, TimeUs start);
+// One line of a timeline; its time is in seconds since `start_time`.
+std::string ToString(const TrialEvent& event, TimeUs start_time);
 
 }  // namespace croftrun::lab::soak
 
--- a/src/lab/soak/trial.cpp
+++ b/src/lab/soak/trial.cpp
@@ -28,28 +28,28 @@
 namespace {
 
 constexpr TimeUs kSecond = 1'000'000, kMs = 1'000;
-// After the last call: standing calls end or are released, and every time limit of the judge has passed.
-constexpr TimeUs kAfterCalls = 10 * kSecond;
-constexpr TimeUs kStartWithin = 15 * kSecond;
-constexpr TimeUs kWatchEvery = 100 * kMs;
-// After a planned kill the process is down for so long.
-constexpr TimeUs kDownFor = 300 * kMs;
-// New connections come for a while after SIGTERM; then clients go on with those that are open.
-constexpr TimeUs kNewConnectionsAfterTerminate = 300 * kMs;
-constexpr int kDescriptors = 256, kMegabytes = 64;
-constexpr int kMostTries = 20, kTryAgainMs = 100;
+// Time after the traffic in which established calls end or are released and every time limit of the judge passes.
+constexpr TimeUs kSettleTime = 10 * kSecond;
+constexpr TimeUs kStartTimeout = 15 * kSecond;
+constexpr TimeUs kProcessCheckInterval = 100 * kMs;
+// Time from the end of a softswitch's process to the start of the next one.
+constexpr TimeUs kRestartDelay = 300 * kMs;
+// Time after SIGTERM in which clients open new connections; later they use only those that are open.
+constexpr TimeUs kConnectTimeAfterSigterm = 300 * kMs;
+constexpr int kMaxDescriptors = 256, kMaxMegabytes = 64;
+constexpr int kMaxBindRetries = 20, kBindRetryMs = 100;
 constexpr ColdStartSettings kColdStart;
 
-// Addresses of a trial: 127.(32 + slot).x.y.
+// The addresses of a trial: 127.(32 + slot).x.y.
 class Addresses {
  public:
   explicit Addresses(int slot) : base_(127U << 24U | (32U + static_cast<std::uint32_t>(slot)) << 16U) {}
   core::Address Exchange(int softswitch, int exchange) const { return At(10 + softswitch, 1 + exchange, 5080); }
-  core::Address BehindExchange(int softswitch, int exchange) const { return At(10 + softswitch, 1 + exchange, 6080); }
+  core::Address ExchangeUpstream(int softswitch, int exchange) const { return At(10 + softswitch, 1 + exchange, 6080); }
   core::Address Discovery(int softswitch, int which) const { return At(50 + softswitch, 1 + which, 9092); }
-  core::Address BehindDiscovery(int softswitch) const { return At(50 + softswitch, 1, 9093); }
+  core::Address DiscoveryUpstream(int softswitch) const { return At(50 + softswitch, 1, 9093); }
   core::Address Softswitch(int softswitch) const { return At(90 + softswitch, 1, 5080); }
-  std::uint32_t Hosts(int softswitch) const { return At(130 + softswitch, 1, 0).host; }
+  std::uint32_t FirstClientHost(int softswitch) const { return At(130 + softswitch, 1, 0).host; }
 
  private:
   core::Address At(int third, int fourth, std::uint16_t port) const {
@@ -60,287 +60,293 @@
 
 class Trial {
  public:
-  Trial(const Script& script, const TrialOptions& options);
+  Trial(const Schedule& schedule, const TrialOptions& options);
   TrialResult Run();
 
  private:
   struct Softswitch {
     std::unique_ptr<DiscoveryStandIn> discovery;
-    std::vector<std::unique_ptr<FaultProxy>> discovery_ways;  // where it can be found
-    int discovery_at = 0;
-    int discovery_away = 0;  // faults that keep it away now
+    std::vector<std::unique_ptr<FaultProxy>> discovery_proxies;  // one for each address that it can have
+    int discovery_proxy_index = 0;
+    int discovery_outages = 0;  // number of outages in progress
     std::unique_ptr<SoftswitchProcess> process;
     std::unique_ptr<ClientStandIn> clients;
     bool restarting = false;
   };
   struct Exchange {
-    std::unique_ptr<ExchangeStandIn> machine;
-    std::vector<std::unique_ptr<FaultProxy>> ways;  // by softswitch
+    std::unique_ptr<ExchangeStandIn> stand_in;
+    std::vector<std::unique_ptr<FaultProxy>> proxies;  // by softswitch
     std::string uid;
-    bool away = false;  // vanished, dead or drained: no other fault of its process comes
+    bool unavailable = false;  // lost, crashed or drained: other faults of its process are skipped
     bool listed_gone = false;
     bool draining = false;
   };
 
-  void After(TimeUs delay, std::function<void()> what) { runtime_.StartTimer(delay, std::move(what)); }
+  void RunAfter(TimeUs delay, std::function<void()> what) { runtime_.StartTimer(delay, std::move(what)); }
   std::string Configuration(int softswitch) const;
-  void List(int exchange, const std::string& state, std::int64_t boot_ms = 0);
-  void Start();
-  void Play(const Fault& fault);
-  void PlayOnExchange(const Fault& fault, Exchange& exchange);
-  void PlayOnSoftswitch(const Fault& fault, Softswitch& softswitch);
-  void Vanish(Exchange& exchange, TimeUs back_after);
-  void Die(Exchange& exchange, TimeUs back_after);
-  void Replace(Exchange& exchange);
-  void Drain(Exchange& exchange, TimeUs gone_after);
-  // Another process at this slot, with a name of its own.
-  void NewMachine(Exchange& exchange);
-  // The process at this slot has just started, and discovery has it.
-  void ListColdStart(Exchange& exchange);
-  void KeepDiscoveryAway(TimeUs time, bool silent);
-  void Reconfigure(int softswitch);
-  void Terminate(int softswitch);
-  void Restart(int softswitch);
-  void Watch();
+  void ListExchange(int exchange, const std::string& state, std::int64_t boot_ms = 0);
+  void StartFleet();
+  void InjectFault(const Fault& fault);
+  void InjectExchangeFault(const Fault& fault, Exchange& exchange);
+  void InjectSoftswitchFault(const Fault& fault, Softswitch& softswitch);
+  void LoseHost(Exchange& exchange, TimeUs return_delay);
+  void CrashExchange(Exchange& exchange, TimeUs return_delay);
+  void ReplaceExchange(Exchange& exchange);
+  void DrainExchange(Exchange& exchange, TimeUs drain_time);
+  // Assigns the number and the name of a new process to this exchange.
+  void AssignNewInstance(Exchange& exchange);
+  // Records the start of a new process and lists it in the discovery service.
+  void AnnounceColdStart(Exchange& exchange);
+  void StartDiscoveryOutage(TimeUs time, bool silent);
+  void ReconfigureSoftswitch(int softswitch);
+  void TerminateSoftswitch(int softswitch);
+  void RestartSoftswitch(int softswitch);
+  void MonitorProcesses();
   int SlotOf(const Exchange& exchange) const { return static_cast<int>(&exchange - exchanges_.data()); }
 
-  Script script_;
+  Schedule schedule_;
   TrialOptions options_;
   Addresses addresses_;
   runtime::AsioRuntime runtime_;
-  TrafficRecord record_{&runtime_};
+  EventLog event_log_{&runtime_};
   std::vector<Softswitch> softswitches_;
   std::vector<Exchange> exchanges_;
   int next_instance_ = 0;
-  TimeUs started_ = 0;
-  bool over_ = false;
-  core::Timer watch_{&runtime_};
+  TimeUs start_time_ = 0;
+  bool finished_ = false;
+  core::Timer monitor_timer_{&runtime_};
 };
 
-Trial::Trial(const Script& script, const TrialOptions& options)
-    : script_(script), options_(options), addresses_(options.slot) {
+Trial::Trial(const Schedule& schedule, const TrialOptions& options)
+    : schedule_(schedule), options_(options), addresses_(options.slot) {
   std::filesystem::create_directories(options.folder);
-  const auto count = static_cast<std::size_t>(script.softswitches);
+  const auto count = static_cast<std::size_t>(schedule.softswitches);
   softswitches_.resize(count);
-  exchanges_.resize(static_cast<std::size_t>(script.exchanges));
-  for (int e = 0; e < script.exchanges; ++e) {
+  exchanges_.resize(static_cast<std::size_t>(schedule.exchanges));
+  for (int e = 0; e < schedule.exchanges; ++e) {
     Exchange& exchange = exchanges_[static_cast<std::size_t>(e)];
-    std::vector<FaultProxy*> ways;
-    std::vector<core::Address> behind;
-    for (int s = 0; s < script.softswitches; ++s) {
-      behind.push_back(addresses_.BehindExchange(s, e));
-      exchange.ways.push_back(
-          std::make_unique<FaultProxy>(&runtime_.context(), addresses_.Exchange(s, e), behind.back(),
-                                       script.seed * 1000 + static_cast<std::uint64_t>(e * 10 + s)));
-      ways.push_back(exchange.ways.back().get());
+    std::vector<FaultProxy*> proxies;
+    std::vector<core::Address> upstreams;
+    for (int s = 0; s < schedule.softswitches; ++s) {
+      upstreams.push_back(addresses_.ExchangeUpstream(s, e));
+      exchange.proxies.push_back(
+          std::make_unique<FaultProxy>(&runtime_.context(), addresses_.Exchange(s, e), upstreams.back(),
+                                       schedule.seed * 1000 + static_cast<std::uint64_t>(e * 10 + s)));
+      proxies.push_back(exchange.proxies.back().get());
     }
-    exchange.machine = std::make_unique<ExchangeStandIn>(
-        &runtime_, &record_, script.seed * 100 + static_cast<std::uint64_t>(e), script.exchange, ways, behind);
+    exchange.stand_in =
+        std::make_unique<ExchangeStandIn>(&runtime_, &event_log_, schedule.seed * 100 + static_cast<std::uint64_t>(e),
+                                          schedule.exchange, proxies, upstreams);
   }
-  for (int s = 0; s < script.softswitches; ++s) {
+  for (int s = 0; s < schedule.softswitches; ++s) {
     Softswitch& softswitch = softswitches_[static_cast<std::size_t>(s)];
-    softswitch.discovery = std::make_unique<DiscoveryStandIn>(&runtime_, &record_, s, addresses_.BehindDiscovery(s));
+    softswitch.discovery =
+        std::make_unique<DiscoveryStandIn>(&runtime_, &event_log_, s, addresses_.DiscoveryUpstream(s));
     for (int which = 0; which < 2; ++which) {
-      softswitch.discovery_ways.push_back(std::make_unique<FaultProxy>(
-          &runtime_.context(), addresses_.Discovery(s, which), addresses_.BehindDiscovery(s), script.seed));
+      softswitch.discovery_proxies.push_back(std::make_unique<FaultProxy>(
+          &runtime_.context(), addresses_.Discovery(s, which), addresses_.DiscoveryUpstream(s), schedule.seed));
     }
     softswitch.process = std::make_unique<SoftswitchProcess>(options.program, options.folder, "n" + std::to_string(s));
     softswitch.clients = std::make_unique<ClientStandIn>(
-        &runtime_.context(), &runtime_, &record_, script.seed * 7919 + static_cast<std::uint64_t>(s), script.clients, s,
-        addresses_.Softswitch(s), addresses_.Hosts(s), script.exchanges);
+        &runtime_.context(), &runtime_, &event_log_, schedule.seed * 7919 + static_cast<std::uint64_t>(s),
+        schedule.clients, s, addresses_.Softswitch(s), addresses_.FirstClientHost(s), schedule.exchanges);
   }
-  for (Exchange& exchange : exchanges_) NewMachine(exchange);
+  for (Exchange& exchange : exchanges_) AssignNewInstance(exchange);
 }
 
 std::string Trial::Configuration(int number) const {
   const Softswitch& softswitch = softswitches_[static_cast<std::size_t>(number)];
-  json grades = json::array(), widths = json::array(), holdings = json::array();
-  for (std::size_t i = 0; i < script_.deadlines.size(); ++i) {
-    const TimeUs deadline = script_.deadlines[i];
-    grades.push_back({{"name", script_.clients.classes[i]},
-                      {"repeat", "idempotent"},
-                      {"group", "all"},
-                      {"slo_us", std::max<TimeUs>(300 * kMs, deadline / 3)},
-                      {"hard_limit_us", deadline},
-                      {"worth", 1.0 + static_cast<double>(i)},
-                      {"late_worth", 0.2}});
+  json call_classes = json::array(), widths = json::array(), holding_times = json::array();
+  for (std::size_t i = 0; i < schedule_.deadlines.size(); ++i) {
+    const TimeUs deadline = schedule_.deadlines[i];
+    call_classes.push_back({{"name", schedule_.clients.classes[i]},
+                            {"repeat", "idempotent"},
+                            {"group", "all"},
+                            {"slo_us", std::max<TimeUs>(300 * kMs, deadline / 3)},
+                            {"hard_limit_us", deadline},
+                            {"worth", 1.0 + static_cast<double>(i)},
+                            {"late_worth", 0.2}});
     widths.push_back(1);
-    holdings.push_back(script_.exchange.hold_mean);
+    holding_times.push_back(schedule_.exchange.mean_holding_time);
   }
   const json settings = {{"allowed",
                           {{"most_tries", 4},
                            {"most_held", 20000},
                            {"may_cancel", true},
                            {"connect_timeout_us", 500'000},
-                           {"probes", script_.probes},
-                           {"retry_after", script_.retry_after},
+                           {"probes", schedule_.probes},
+                           {"retry_after", schedule_.retry_after},
                            {"max_retry_after_us", 2'000'000},
                            {"conn_idle_us", 600'000'000}}},
-                         {"balancers", script_.softswitches},
+                         {"balancers", schedule_.softswitches},
                          {"contract",
-                          {{"drain_grace_us", script_.drain_grace_us},
+                          {{"drain_grace_us", schedule_.drain_grace_us},
                            {"grace_to_answer_us", 5'000},
-                           {"cold_from", kColdStart.cold_from},
-                           {"warm_up_us", kColdStart.warm_up},
-                           {"fall_multiple", kColdStart.fall_multiple},
+                           {"cold_from", kColdStart.warm_up_start_share},
+                           {"warm_up_us", kColdStart.warm_up_time},
+                           {"fall_multiple", kColdStart.collapse_multiple},
                            {"fall_us", kColdStart.window}}},
                          {"discovery", "automatic"},
                          {"family_info",
                           {{"home_no", number},
                            {"shape", "meshed"},
-                           {"release_us", script_.release_us},
+                           {"release_us", schedule_.resend_guard_us},
                            {"widths", widths},
-                           {"holding_us", holdings},
+                           {"holding_us", holding_times},
                            {"class_cells", json::array()}}},
-                         {"grades", grades},
+                         {"grades", call_classes},
                          {"localities", {"west", "east"}},
                          {"flavors", {"std"}},
                          {"report", {{"fields", {"spare", "total"}}}},
                          {"tenants", json::array()}};
   return json{{"name", "n" + std::to_string(number)},
               {"listen", core::ToString(addresses_.Softswitch(number))},
-              {"seed", std::to_string(script_.seed * 10 + static_cast<std::uint64_t>(number))},
-              {"limits", {{"cores", 1.0}, {"memory_mb", kMegabytes}, {"sockets", kDescriptors}}},
-              {"board", core::ToString(addresses_.Discovery(number, softswitch.discovery_at))},
-              {"known", softswitch.discovery->Known()},
+              {"seed", std::to_string(schedule_.seed * 10 + static_cast<std::uint64_t>(number))},
+              {"limits", {{"cores", 1.0}, {"memory_mb", kMaxMegabytes}, {"sockets", kMaxDescriptors}}},
+              {"board", core::ToString(addresses_.Discovery(number, softswitch.discovery_proxy_index))},
+              {"known", softswitch.discovery->KnownDirectory()},
               {"settings", settings}}
       .dump();
 }
 
-void Trial::NewMachine(Exchange& exchange) {
+void Trial::AssignNewInstance(Exchange& exchange) {
   const int instance = next_instance_++;
-  exchange.machine->SetInstance(instance);
+  exchange.stand_in->SetInstance(instance);
   exchange.uid = "s-" + std::to_string(instance);
   exchange.listed_gone = exchange.draining = false;
-  exchange.away = false;
+  exchange.unavailable = false;
 }
 
-void Trial::ListColdStart(Exchange& exchange) {
-  record_.Note({.kind = EventKind::kColdStart, .exchange = exchange.machine->instance()});
-  List(SlotOf(exchange), exchange.draining ? "Terminating" : "Ready", runtime_.WallUs() / 1000);
+void Trial::AnnounceColdStart(Exchange& exchange) {
+  event_log_.Append({.kind = EventKind::kColdStart, .exchange = exchange.stand_in->instance()});
+  ListExchange(SlotOf(exchange), exchange.draining ? "Terminating" : "Ready", runtime_.WallUs() / 1000);
 }
 
-void Trial::List(int slot, const std::string& state, std::int64_t boot_ms) {
+void Trial::ListExchange(int slot, const std::string& state, std::int64_t boot_ms) {
   Exchange& exchange = exchanges_[static_cast<std::size_t>(slot)];
-  for (int s = 0; s < script_.softswitches; ++s) {
-    softswitches_[static_cast<std::size_t>(s)].discovery->List({.uid = exchange.uid,
-                                                                .address = addresses_.Exchange(s, slot),
-                                                                .number = slot,
-                                                                .instance = exchange.machine->instance(),
-                                                                .state = state,
-                                                                .boot_ms = boot_ms});
+  for (int s = 0; s < schedule_.softswitches; ++s) {
+    softswitches_[static_cast<std::size_t>(s)].discovery->UpdateEntry({.uid = exchange.uid,
+                                                                       .address = addresses_.Exchange(s, slot),
+                                                                       .number = slot,
+                                                                       .instance = exchange.stand_in->instance(),
+                                                                       .state = state,
+                                                                       .boot_ms = boot_ms});
   }
 }
 
-void Trial::Start() {
-  for (int e = 0; e < script_.exchanges; ++e) List(e, "Ready");
-  auto waited_for = std::make_shared<int>(script_.softswitches);
-  for (int s = 0; s < script_.softswitches; ++s) {
+void Trial::StartFleet() {
+  for (int e = 0; e < schedule_.exchanges; ++e) ListExchange(e, "Ready");
+  auto remaining = std::make_shared<int>(schedule_.softswitches);
+  for (int s = 0; s < schedule_.softswitches; ++s) {
     Softswitch& softswitch = softswitches_[static_cast<std::size_t>(s)];
     softswitch.process->WriteConfiguration(Configuration(s));
     softswitch.process->Start();
-    record_.Note({.kind = EventKind::kStarted, .softswitch = s});
-    softswitch.clients->WaitForReady([this, waited_for] {
-      if (--*waited_for > 0) return;
-      started_ = runtime_.Now();
+    event_log_.Append({.kind = EventKind::kStarted, .softswitch = s});
+    softswitch.clients->WaitForReady([this, remaining] {
+      if (--*remaining > 0) return;
+      start_time_ = runtime_.Now();
       for (Softswitch& each : softswitches_) each.clients->StartCalls();
-      for (const Fault& fault : script_.faults) After(fault.at, [this, fault] { Play(fault); });
-      After(script_.length, [this] {
+      for (const Fault& fault : schedule_.faults) RunAfter(fault.at, [this, fault] { InjectFault(fault); });
+      RunAfter(schedule_.traffic_duration, [this] {
         for (Softswitch& each : softswitches_) each.clients->StopCalls();
       });
-      After(script_.length + kAfterCalls, [this] {
-        over_ = true;
+      RunAfter(schedule_.traffic_duration + kSettleTime, [this] {
+        finished_ = true;
         runtime_.Stop();
       });
     });
   }
-  Watch();
+  MonitorProcesses();
 }
 
-void Trial::Watch() {
-  watch_.Start(kWatchEvery, [this] {
-    for (int s = 0; s < script_.softswitches; ++s) {
+void Trial::MonitorProcesses() {
+  monitor_timer_.Start(kProcessCheckInterval, [this] {
+    for (int s = 0; s < schedule_.softswitches; ++s) {
       Softswitch& softswitch = softswitches_[static_cast<std::size_t>(s)];
       if (!softswitch.process->running()) continue;
-      if (const auto code = softswitch.process->Exited()) {
-        record_.Note({.kind = EventKind::kExited, .softswitch = s, .value = *code});
-        softswitch.clients->OnProcessGone();
-        // The plan of a shutdown starts it anew; one that ended by itself is left as it is and judged.
+      if (const auto code = softswitch.process->PollExit()) {
+        event_log_.Append({.kind = EventKind::kExited, .softswitch = s, .value = *code});
+        softswitch.clients->OnProcessEnded();
+        // TerminateSoftswitch restarts a process that it terminated; one that exited otherwise is not restarted, and
+        // the judge reports it.
         continue;
       }
-      // A child that is just starting shares this process's descriptors for a moment.
-      if (softswitch.restarting || started_ == 0) continue;
-      record_.Note({.kind = EventKind::kLimits,
-                    .softswitch = s,
-                    .exchange = softswitch.process->ResidentMegabytes(),
-                    .value = softswitch.process->Descriptors()});
+      // A child that is being started shares this program's descriptors until it calls exec.
+      if (softswitch.restarting || start_time_ == 0) continue;
+      event_log_.Append({.kind = EventKind::kResourceUsage,
+                         .softswitch = s,
+                         .exchange = softswitch.process->ResidentMegabytes(),
+                         .value = softswitch.process->OpenDescriptors()});
     }
-    Watch();
+    MonitorProcesses();
   });
 }
 
-void Trial::Play(const Fault& fault) {
-  record_.Note({.kind = EventKind::kFault, .text = ToString(fault)});
+void Trial::InjectFault(const Fault& fault) {
+  event_log_.Append({.kind = EventKind::kFault, .text = ToString(fault)});
   if (fault.kind == FaultKind::kDiscoveryDown || fault.kind == FaultKind::kDiscoverySilent) {
-    KeepDiscoveryAway(fault.length, fault.kind == FaultKind::kDiscoverySilent);
+    StartDiscoveryOutage(fault.duration, fault.kind == FaultKind::kDiscoverySilent);
   } else if (fault.kind >= FaultKind::kReconfigure) {
-    PlayOnSoftswitch(fault, softswitches_[static_cast<std::size_t>(fault.target)]);
+    InjectSoftswitchFault(fault, softswitches_[static_cast<std::size_t>(fault.target)]);
   } else {
-    PlayOnExchange(fault, exchanges_[static_cast<std::size_t>(fault.target)]);
+    InjectExchangeFault(fault, exchanges_[static_cast<std::size_t>(fault.target)]);
   }
 }
 
-void Trial::PlayOnExchange(const Fault& fault, Exchange& exchange) {
-  Exchange* const kept = &exchange;
-  const auto each_way = [kept](const auto& what) {
-    for (const auto& way : kept->ways) what(*way);
+void Trial::InjectExchangeFault(const Fault& fault, Exchange& exchange) {
+  Exchange* const exchange_ptr = &exchange;
+  const auto for_each_proxy = [exchange_ptr](const auto& what) {
+    for (const auto& proxy : exchange_ptr->proxies) what(*proxy);
   };
   switch (fault.kind) {
     case FaultKind::kVanish:
-      return Vanish(exchange, 0);
+      return LoseHost(exchange, 0);
     case FaultKind::kVanishAndReturn:
-      return Vanish(exchange, fault.length);
+      return LoseHost(exchange, fault.duration);
     case FaultKind::kDie:
-      return Die(exchange, fault.length);
+      return CrashExchange(exchange, fault.duration);
     case FaultKind::kReplace:
-      return Replace(exchange);
+      return ReplaceExchange(exchange);
     case FaultKind::kDrain:
-      return Drain(exchange, fault.length);
+      return DrainExchange(exchange, fault.duration);
     case FaultKind::kHang:
-      return exchange.machine->Hang(fault.length);
+      return exchange.stand_in->Hang(fault.duration);
     case FaultKind::kCutExchange:
-      each_way([](FaultProxy& way) { way.Pass({false, false}); });
-      return After(fault.length, [each_way] { each_way([](FaultProxy& way) { way.Pass({}); }); });
+      for_each_proxy([](FaultProxy& proxy) { proxy.SetForwarding({false, false}); });
+      return RunAfter(fault.duration,
+                      [for_each_proxy] { for_each_proxy([](FaultProxy& proxy) { proxy.SetForwarding({}); }); });
     case FaultKind::kCutOneWay: {
-      FaultProxy* const way = exchange.ways[static_cast<std::size_t>(fault.target) % exchange.ways.size()].get();
-      const bool up = fault.length % 2 == 0;
-      way->Pass({!up, up});
-      return After(fault.length, [way] { way->Pass({}); });
+      FaultProxy* const proxy =
+          exchange.proxies[static_cast<std::size_t>(fault.target) % exchange.proxies.size()].get();
+      const bool up = fault.duration % 2 == 0;
+      proxy->SetForwarding({!up, up});
+      return RunAfter(fault.duration, [proxy] { proxy->SetForwarding({}); });
     }
     case FaultKind::kReset:
-      return each_way([](FaultProxy& way) { way.ResetAll(); });
+      return for_each_proxy([](FaultProxy& proxy) { proxy.ResetAll(); });
     case FaultKind::kForgetIdle:
-      return each_way([](FaultProxy& way) { way.ForgetIdle(200 * kMs); });
+      return for_each_proxy([](FaultProxy& proxy) { proxy.ForgetIdle(200 * kMs); });
     case FaultKind::kCloseIdle:
-      return each_way([](FaultProxy& way) { way.CloseIdle(200 * kMs); });
+      return for_each_proxy([](FaultProxy& proxy) { proxy.CloseIdle(200 * kMs); });
     case FaultKind::kLateConnections:
-      return each_way([length = fault.length](FaultProxy& way) { way.HoldConnections(length); });
+      return for_each_proxy([duration = fault.duration](FaultProxy& proxy) { proxy.DelayConnections(duration); });
     case FaultKind::kHalfClose:
-      return each_way([](FaultProxy& way) { way.HalfCloseAll(); });
+      return for_each_proxy([](FaultProxy& proxy) { proxy.HalfCloseAll(); });
     case FaultKind::kTrickle:
-      each_way([](FaultProxy& way) { way.Trickle(true); });
-      return After(fault.length, [each_way] { each_way([](FaultProxy& way) { way.Trickle(false); }); });
+      for_each_proxy([](FaultProxy& proxy) { proxy.SetTrickle(true); });
+      return RunAfter(fault.duration,
+                      [for_each_proxy] { for_each_proxy([](FaultProxy& proxy) { proxy.SetTrickle(false); }); });
     case FaultKind::kSpoil: {
-      ExchangeTraits& traits = exchange.machine->traits();
-      traits.never_answers = traits.answers_twice = 0.1;
-      traits.breaks = traits.spoils = 0.25;
-      return After(fault.length, [this, kept] {
-        const ExchangeTraits& calm = script_.exchange;
-        ExchangeTraits& now = kept->machine->traits();
-        now.never_answers = calm.never_answers;
-        now.breaks = calm.breaks;
-        now.spoils = calm.spoils;
-        now.answers_twice = calm.answers_twice;
+      ExchangeTraits& traits = exchange.stand_in->traits();
+      traits.no_answer_share = traits.duplicate_answer_share = 0.1;
+      traits.close_share = traits.malformed_answer_share = 0.25;
+      return RunAfter(fault.duration, [this, exchange_ptr] {
+        const ExchangeTraits& normal = schedule_.exchange;
+        ExchangeTraits& current_traits = exchange_ptr->stand_in->traits();
+        current_traits.no_answer_share = normal.no_answer_share;
+        current_traits.close_share = normal.close_share;
+        current_traits.malformed_answer_share = normal.malformed_answer_share;
+        current_traits.duplicate_answer_share = normal.duplicate_answer_share;
       });
     }
     default:
@@ -348,123 +354,123 @@
   }
 }
 
-void Trial::Vanish(Exchange& exchange, TimeUs back_after) {
-  if (exchange.away) return;
-  exchange.away = true;
-  for (const auto& way : exchange.ways) way->Vanish();
-  exchange.machine->Die();
-  Exchange* const kept = &exchange;
-  if (back_after == 0) {
-    // Discovery has it a while later.
-    return After(3 * kSecond, [this, kept] {
-      if (!std::exchange(kept->listed_gone, true)) List(SlotOf(*kept), "Gone");
+void Trial::LoseHost(Exchange& exchange, TimeUs return_delay) {
+  if (exchange.unavailable) return;
+  exchange.unavailable = true;
+  for (const auto& proxy : exchange.proxies) proxy->LoseHost();
+  exchange.stand_in->LoseState();
+  Exchange* const exchange_ptr = &exchange;
+  if (return_delay == 0) {
+    // Discovery notices the loss some time later.
+    return RunAfter(3 * kSecond, [this, exchange_ptr] {
+      if (!std::exchange(exchange_ptr->listed_gone, true)) ListExchange(SlotOf(*exchange_ptr), "Gone");
     });
   }
-  After(back_after, [this, kept] {
-    const bool was_draining = kept->draining;
-    kept->away = was_draining;
-    for (const auto& way : kept->ways) way->Return();
+  RunAfter(return_delay, [this, exchange_ptr] {
+    const bool was_draining = exchange_ptr->draining;
+    exchange_ptr->unavailable = was_draining;
+    for (const auto& proxy : exchange_ptr->proxies) proxy->RestoreHost();
     if (was_draining) return;
-    // The same name with a later start, or another name at the same address.
+    // The new process has the same name with a later start time, or another name at the same address.
     if (next_instance_ % 2 == 0) {
-      List(SlotOf(*kept), "Gone");
-      NewMachine(*kept);
+      ListExchange(SlotOf(*exchange_ptr), "Gone");
+      AssignNewInstance(*exchange_ptr);
     }
-    ListColdStart(*kept);
+    AnnounceColdStart(*exchange_ptr);
   });
 }
 
-void Trial::Die(Exchange& exchange, TimeUs back_after) {
-  if (exchange.away) return;
-  exchange.away = true;
-  exchange.machine->Die();
-  for (const auto& way : exchange.ways) {
-    way->Refuse(true);
-    way->ResetAll();
+void Trial::CrashExchange(Exchange& exchange, TimeUs return_delay) {
+  if (exchange.unavailable) return;
+  exchange.unavailable = true;
+  exchange.stand_in->LoseState();
+  for (const auto& proxy : exchange.proxies) {
+    proxy->SetRefusing(true);
+    proxy->ResetAll();
   }
-  Exchange* const kept = &exchange;
-  After(back_after, [this, kept] {
-    kept->away = false;
-    for (const auto& way : kept->ways) way->Refuse(false);
-    ListColdStart(*kept);
+  Exchange* const exchange_ptr = &exchange;
+  RunAfter(return_delay, [this, exchange_ptr] {
+    exchange_ptr->unavailable = false;
+    for (const auto& proxy : exchange_ptr->proxies) proxy->SetRefusing(false);
+    AnnounceColdStart(*exchange_ptr);
   });
 }
 
-void Trial::Replace(Exchange& exchange) {
-  if (exchange.away || exchange.draining) return;
-  exchange.machine->Die();
-  for (const auto& way : exchange.ways) way->ResetAll();
-  List(SlotOf(exchange), "Gone");
-  NewMachine(exchange);
-  ListColdStart(exchange);
+void Trial::ReplaceExchange(Exchange& exchange) {
+  if (exchange.unavailable || exchange.draining) return;
+  exchange.stand_in->LoseState();
+  for (const auto& proxy : exchange.proxies) proxy->ResetAll();
+  ListExchange(SlotOf(exchange), "Gone");
+  AssignNewInstance(exchange);
+  AnnounceColdStart(exchange);
 }
 
-void Trial::Drain(Exchange& exchange, TimeUs gone_after) {
-  if (exchange.away || exchange.draining) return;
+void Trial::DrainExchange(Exchange& exchange, TimeUs drain_time) {
+  if (exchange.unavailable || exchange.draining) return;
   exchange.draining = true;
-  List(SlotOf(exchange), "Terminating");
-  Exchange* const kept = &exchange;
-  After(gone_after, [this, kept] {
-    if (kept->away) return;
-    kept->away = true;
-    List(SlotOf(*kept), "Gone");
-    kept->machine->Die();
-    for (const auto& way : kept->ways) way->ResetAll();
-    NewMachine(*kept);
-    ListColdStart(*kept);
+  ListExchange(SlotOf(exchange), "Terminating");
+  Exchange* const exchange_ptr = &exchange;
+  RunAfter(drain_time, [this, exchange_ptr] {
+    if (exchange_ptr->unavailable) return;
+    exchange_ptr->unavailable = true;
+    ListExchange(SlotOf(*exchange_ptr), "Gone");
+    exchange_ptr->stand_in->LoseState();
+    for (const auto& proxy : exchange_ptr->proxies) proxy->ResetAll();
+    AssignNewInstance(*exchange_ptr);
+    AnnounceColdStart(*exchange_ptr);
   });
 }
 
-void Trial::KeepDiscoveryAway(TimeUs time, bool silent) {
-  for (int s = 0; s < script_.softswitches; ++s) {
+void Trial::StartDiscoveryOutage(TimeUs time, bool silent) {
+  for (int s = 0; s < schedule_.softswitches; ++s) {
     Softswitch& softswitch = softswitches_[static_cast<std::size_t>(s)];
-    if (softswitch.discovery_away++ > 0) continue;
-    record_.Note({.kind = EventKind::kDiscoveryAway, .softswitch = s});
+    if (softswitch.discovery_outages++ > 0) continue;
+    event_log_.Append({.kind = EventKind::kDiscoveryUnavailable, .softswitch = s});
     softswitch.discovery->SetSilent(silent);
     if (silent) continue;
-    for (const auto& way : softswitch.discovery_ways) {
-      way->Refuse(true);
-      way->ResetAll();
+    for (const auto& proxy : softswitch.discovery_proxies) {
+      proxy->SetRefusing(true);
+      proxy->ResetAll();
     }
   }
-  After(time, [this] {
-    for (int s = 0; s < script_.softswitches; ++s) {
+  RunAfter(time, [this] {
+    for (int s = 0; s < schedule_.softswitches; ++s) {
       Softswitch& softswitch = softswitches_[static_cast<std::size_t>(s)];
-      if (--softswitch.discovery_away > 0) continue;
-      record_.Note({.kind = EventKind::kDiscoveryBack, .softswitch = s});
+      if (--softswitch.discovery_outages > 0) continue;
+      event_log_.Append({.kind = EventKind::kDiscoveryAvailable, .softswitch = s});
       softswitch.discovery->SetSilent(false);
-      for (const auto& way : softswitch.discovery_ways) way->Refuse(false);
+      for (const auto& proxy : softswitch.discovery_proxies) proxy->SetRefusing(false);
     }
   });
 }
 
-void Trial::PlayOnSoftswitch(const Fault& fault, Softswitch& softswitch) {
-  Softswitch* const kept = &softswitch;
+void Trial::InjectSoftswitchFault(const Fault& fault, Softswitch& softswitch) {
+  Softswitch* const softswitch_ptr = &softswitch;
   switch (fault.kind) {
     case FaultKind::kReconfigure:
-      return Reconfigure(fault.target);
+      return ReconfigureSoftswitch(fault.target);
     case FaultKind::kTerminate:
-      return Terminate(fault.target);
+      return TerminateSoftswitch(fault.target);
     case FaultKind::kKill:
       if (softswitch.restarting || !softswitch.process->running()) return;
       softswitch.restarting = true;
       softswitch.process->Kill();
-      record_.Note({.kind = EventKind::kKilled, .softswitch = fault.target});
-      softswitch.clients->OnProcessGone();
-      return After(kDownFor, [this, target = fault.target] { Restart(target); });
+      event_log_.Append({.kind = EventKind::kKilled, .softswitch = fault.target});
+      softswitch.clients->OnProcessEnded();
+      return RunAfter(kRestartDelay, [this, target = fault.target] { RestartSoftswitch(target); });
     case FaultKind::kBadClients:
-      for (int i = 0; i < 6; ++i) softswitch.clients->BadClient(i);
+      for (int i = 0; i < 6; ++i) softswitch.clients->ConnectBadClient(i);
       return;
     case FaultKind::kCrowd:
-      softswitch.clients->SetCrowd(kCrowdFactor);
-      return After(fault.length, [kept] { kept->clients->SetCrowd(1.0); });
+      softswitch.clients->SetCrowdFactor(kCrowdFactor);
+      return RunAfter(fault.duration, [softswitch_ptr] { softswitch_ptr->clients->SetCrowdFactor(1.0); });
     case FaultKind::kLeavers: {
       ClientTraits& traits = softswitch.clients->traits();
-      traits.cancels = 0.3;
-      traits.leaves = 0.2;
-      return After(fault.length, [this, kept] {
-        kept->clients->traits().cancels = script_.clients.cancels;
-        kept->clients->traits().leaves = script_.clients.leaves;
+      traits.cancel_share = 0.3;
+      traits.disconnect_share = 0.2;
+      return RunAfter(fault.duration, [this, softswitch_ptr] {
+        softswitch_ptr->clients->traits().cancel_share = schedule_.clients.cancel_share;
+        softswitch_ptr->clients->traits().disconnect_share = schedule_.clients.disconnect_share;
       });
     }
     default:
@@ -472,113 +478,114 @@
   }
 }
 
-void Trial::Reconfigure(int number) {
+void Trial::ReconfigureSoftswitch(int number) {
   Softswitch& softswitch = softswitches_[static_cast<std::size_t>(number)];
   if (softswitch.restarting || !softswitch.process->running()) return;
-  // Three within 300 ms: one as it was, one at fault, one that moves discovery.
+  // Three configurations within 300 ms: an unchanged one, an invalid one, and one that moves discovery.
   softswitch.process->WriteConfiguration(Configuration(number));
   softswitch.process->Signal(SIGHUP);
-  After(120 * kMs, [this, number] {
-    Softswitch& same = softswitches_[static_cast<std::size_t>(number)];
-    if (same.restarting) return;
-    same.process->SpoilConfiguration();
-    same.process->Signal(SIGHUP);
+  RunAfter(120 * kMs, [this, number] {
+    Softswitch& current = softswitches_[static_cast<std::size_t>(number)];
+    if (current.restarting) return;
+    current.process->CorruptConfiguration();
+    current.process->Signal(SIGHUP);
   });
-  After(280 * kMs, [this, number] {
-    Softswitch& same = softswitches_[static_cast<std::size_t>(number)];
-    FaultProxy* const old = same.discovery_ways[static_cast<std::size_t>(same.discovery_at)].get();
-    same.discovery_at = 1 - same.discovery_at;
-    same.process->WriteConfiguration(Configuration(number));
-    if (!same.restarting) same.process->Signal(SIGHUP);
-    // The old address closes what is open a while later.
-    After(1'500 * kMs, [old] { old->CloseIdle(0); });
+  RunAfter(280 * kMs, [this, number] {
+    Softswitch& current = softswitches_[static_cast<std::size_t>(number)];
+    FaultProxy* const old = current.discovery_proxies[static_cast<std::size_t>(current.discovery_proxy_index)].get();
+    current.discovery_proxy_index = 1 - current.discovery_proxy_index;
+    current.process->WriteConfiguration(Configuration(number));
+    if (!current.restarting) current.process->Signal(SIGHUP);
+    // The old address closes its open connections some time later.
+    RunAfter(1'500 * kMs, [old] { old->CloseIdle(0); });
   });
 }
 
-void Trial::Terminate(int number) {
+void Trial::TerminateSoftswitch(int number) {
   Softswitch& softswitch = softswitches_[static_cast<std::size_t>(number)];
   if (softswitch.restarting || !softswitch.process->running()) return;
   softswitch.restarting = true;
   softswitch.process->Signal(SIGTERM);
-  record_.Note({.kind = EventKind::kTerminateSent,
-                .softswitch = number,
-                .value = static_cast<std::int64_t>(script_.kill_after())});
-  After(kNewConnectionsAfterTerminate, [this, number] {
+  event_log_.Append({.kind = EventKind::kSigtermSent,
+                     .softswitch = number,
+                     .value = static_cast<std::int64_t>(schedule_.kill_delay())});
+  RunAfter(kConnectTimeAfterSigterm, [this, number] {
     ClientStandIn& clients = *softswitches_[static_cast<std::size_t>(number)].clients;
     clients.StopCalls();
-    clients.KeepBusy(true);
+    clients.SetContinuousLoad(true);
   });
-  After(script_.kill_after(), [this, number] {
-    Softswitch& same = softswitches_[static_cast<std::size_t>(number)];
-    same.clients->KeepBusy(false);
-    if (const auto code = same.process->Exited()) {
-      record_.Note({.kind = EventKind::kExited, .softswitch = number, .value = *code});
-    } else if (same.process->running()) {
-      same.process->Kill();
-      record_.Note({.kind = EventKind::kKilled, .softswitch = number});
+  RunAfter(schedule_.kill_delay(), [this, number] {
+    Softswitch& current = softswitches_[static_cast<std::size_t>(number)];
+    current.clients->SetContinuousLoad(false);
+    if (const auto code = current.process->PollExit()) {
+      event_log_.Append({.kind = EventKind::kExited, .softswitch = number, .value = *code});
+    } else if (current.process->running()) {
+      current.process->Kill();
+      event_log_.Append({.kind = EventKind::kKilled, .softswitch = number});
     }
-    same.clients->OnProcessGone();
-    After(kDownFor, [this, number] { Restart(number); });
+    current.clients->OnProcessEnded();
+    RunAfter(kRestartDelay, [this, number] { RestartSoftswitch(number); });
   });
 }
 
-void Trial::Restart(int number) {
+void Trial::RestartSoftswitch(int number) {
   Softswitch& softswitch = softswitches_[static_cast<std::size_t>(number)];
   softswitch.process->WriteConfiguration(Configuration(number));
   softswitch.process->Start();
-  record_.Note({.kind = EventKind::kStarted, .softswitch = number});
+  event_log_.Append({.kind = EventKind::kStarted, .softswitch = number});
   softswitch.clients->WaitForReady([this, number] {
-    Softswitch& same = softswitches_[static_cast<std::size_t>(number)];
-    same.restarting = false;
-    same.clients->AnnounceStanding();
-    if (runtime_.Now() < started_ + script_.length) same.clients->StartCalls();
+    Softswitch& current = softswitches_[static_cast<std::size_t>(number)];
+    current.restarting = false;
+    current.clients->AnnounceEstablishedCalls();
+    if (runtime_.Now() < start_time_ + schedule_.traffic_duration) current.clients->StartCalls();
   });
 }
 
 TrialResult Trial::Run() {
-  After(0, [this] { Start(); });
-  After(kStartWithin, [this] {
-    if (started_ == 0) runtime_.Stop();
+  RunAfter(0, [this] { StartFleet(); });
+  RunAfter(kStartTimeout, [this] {
+    if (start_time_ == 0) runtime_.Stop();
   });
   runtime_.Run();
-  if (!over_) throw std::runtime_error("the softswitches were not ready in time, see " + options_.folder);
+  if (!finished_) throw std::runtime_error("the softswitches were not ready in time, see " + options_.folder);
   for (Softswitch& softswitch : softswitches_) softswitch.process->Kill();
   TrialResult result;
-  result.script = script_;
-  result.events = record_.events();
-  result.started = started_;
+  result.schedule = schedule_;
+  result.events = event_log_.events();
+  result.start_time = start_time_;
   JudgeSettings settings;
-  settings.release_us = script_.release_us;
-  settings.drain_grace_us = script_.drain_grace_us;
-  settings.most_descriptors = kDescriptors;
-  settings.most_megabytes = options_.most_megabytes;
-  settings.reports = script_.exchange.tells_gauges;
+  settings.resend_guard_us = schedule_.resend_guard_us;
+  settings.drain_grace_us = schedule_.drain_grace_us;
+  settings.max_descriptors = kMaxDescriptors;
+  settings.max_megabytes = options_.max_megabytes;
+  settings.exchanges_report = schedule_.exchange.reports_circuits;
   settings.cold_start = kColdStart;
-  settings.cold_start.set_ups_per_s = script_.usual_set_ups_per_s();
+  settings.cold_start.set_ups_per_s = schedule_.nominal_set_ups_per_s();
   for (const FaultKind kind : {FaultKind::kReset, FaultKind::kCutExchange, FaultKind::kCutOneWay}) {
-    settings.cuts_may_be_needed = settings.cuts_may_be_needed || script_.Has(kind);
+    settings.disconnects_may_be_needed = settings.disconnects_may_be_needed || schedule_.Has(kind);
   }
-  // A forgotten connection that is written to is reset, and nothing but a report tells that from a process replaced.
-  if (!settings.reports && script_.Has(FaultKind::kForgetIdle)) settings.cuts_may_be_needed = true;
+  // A write to a connection whose state was lost is answered with a reset. Only a report distinguishes this from the
+  // replacement of the exchange's process.
+  if (!settings.exchanges_report && schedule_.Has(FaultKind::kForgetIdle)) settings.disconnects_may_be_needed = true;
   result.verdict = Judge(result.events, settings);
   return result;
 }
 
 }  // namespace
 
-TrialResult RunTrial(const Script& script, const TrialOptions& options) {
+TrialResult RunTrial(const Schedule& schedule, const TrialOptions& options) {
   const SlotLease lease(options.slot);
-  TrialOptions own = options;
-  own.slot = lease.slot();
-  // A child that another thread is just starting holds copies of all descriptors for a moment: an address may stay
-  // bound.
-  for (int tries = 0;; ++tries) {
+  TrialOptions trial_options = options;
+  trial_options.slot = lease.slot();
+  // A child that another thread is starting holds copies of all descriptors until it calls exec, so an address of an
+  // earlier trial may still be bound.
+  for (int retries = 0;; ++retries) {
     std::unique_ptr<Trial> trial;
     try {
-      trial = std::make_unique<Trial>(script, own);
+      trial = std::make_unique<Trial>(schedule, trial_options);
     } catch (const std::system_error& error) {
-      if (error.code() != std::errc::address_in_use || tries == kMostTries) throw;
-      std::this_thread::sleep_for(std::chrono::milliseconds(kTryAgainMs));
+      if (error.code() != std::errc::address_in_use || retries == kMaxBindRetries) throw;
+      std::this_thread::sleep_for(std::chrono::milliseconds(kBindRetryMs));
       continue;
     }
     return trial->Run();
@@ -589,22 +596,23 @@
   std::set<int> exchanges;
   int softswitch = -1;
   std::uint32_t host = 0;
-  for (const TrafficEvent& event : result.events) {
+  for (const TrialEvent& event : result.events) {
     if (event.call != call) continue;
     softswitch = event.softswitch;
     if (event.host != 0) host = event.host;
     if (event.exchange >= 0) exchanges.insert(event.exchange);
   }
   std::vector<std::string> lines;
-  for (const TrafficEvent& event : result.events) {
-    const bool of_process = event.softswitch == softswitch && event.call.empty() && event.exchange < 0 &&
-                            event.value == 0 && (event.host == 0 || event.host == host);
-    const bool of_its_end =
-        event.softswitch == softswitch && (event.kind == EventKind::kTerminateSent || event.kind == EventKind::kExited);
-    const bool of_exchange = event.softswitch == softswitch && event.call.empty() &&
-                             exchanges.count(event.exchange) > 0 && event.kind != EventKind::kLimits;
-    if (event.call == call || event.kind == EventKind::kFault || of_process || of_its_end || of_exchange)
-      lines.push_back(ToString(event, result.started));
+  for (const TrialEvent& event : result.events) {
+    const bool concerns_process = event.softswitch == softswitch && event.call.empty() && event.exchange < 0 &&
+                                  event.value == 0 && (event.host == 0 || event.host == host);
+    const bool concerns_process_end =
+        event.softswitch == softswitch && (event.kind == EventKind::kSigtermSent || event.kind == EventKind::kExited);
+    const bool concerns_exchange = event.softswitch == softswitch && event.call.empty() &&
+                                   exchanges.count(event.exchange) > 0 && event.kind != EventKind::kResourceUsage;
+    if (event.call == call || event.kind == EventKind::kFault || concerns_process || concerns_process_end ||
+        concerns_exchange)
+      lines.push_back(ToString(event, result.start_time));
   }
   return lines;
 }
--- a/src/lab/soak/trial.h
+++ b/src/lab/soak/trial.h
@@ -1,4 +1,4 @@
-// One soak trial: real softswitch processes among stand-ins on loopback, a script of faults, and what was seen.
+// Runs one soak trial: real softswitch processes among stand-ins on loopback, with faults injected by a schedule.
 #ifndef CROFTRUN_LAB_SOAK_TRIAL_H_
 #define CROFTRUN_LAB_SOAK_TRIAL_H_
 
@@ -11,24 +11,26 @@
 
 namespace croftrun::lab::soak {
 
+// Options of one trial that do not depend on its schedule.
 struct TrialOptions {
-  std::string program;      // croftrun-edge
-  std::string folder;       // for configurations and logs; created
-  int slot = 0;             // the address range to begin with, 0 to 63; one that is taken is passed over
-  int most_megabytes = 64;  // of a softswitch; a program built with sanitizers needs more
+  std::string program;     // path of croftrun-edge
+  std::string folder;      // for configurations and logs; created if it does not exist
+  int slot = 0;            // preferred address range, 0 to 63; ranges in use are skipped
+  int max_megabytes = 64;  // memory limit of a softswitch; a sanitized build needs more
 };
 
+// The event log of a trial and its verdict.
 struct TrialResult {
-  Script script;
-  std::vector<TrafficEvent> events;
+  Schedule schedule;
+  std::vector<TrialEvent> events;
   Verdict verdict;
-  TimeUs started = 0;  // on the clock of the events: the first call
+  TimeUs start_time = 0;  // start of the traffic, on the clock of the events
 };
 
-// Runs to its end, on the calling thread. Throws std::runtime_error where it cannot be set up.
-TrialResult RunTrial(const Script& script, const TrialOptions& options);
+// Runs a trial to its end on the calling thread. Throws std::runtime_error if it cannot be set up.
+TrialResult RunTrial(const Schedule& schedule, const TrialOptions& options);
 
-// The events that concern this call, its exchanges and its softswitch, as lines of text.
+// The timeline of a call: the events of the call, its exchanges and its softswitch, one line of text each.
 std::vector<std::string> TimelineOf(const TrialResult& result, const std::string& call);
 
 }  // namespace croftrun::lab::soak
