--- a/src/lab/soak/client_stand_in.cpp
+++ b/src/lab/soak/client_stand_in.cpp
@@ -123,14 +123,15 @@
 
 ClientStandIn::Connection* ClientStandIn::ConnectionFor(int host) {
   const std::uint32_t address = hosts_from_ + static_cast<std::uint32_t>(host);
-  std::vector<Connection*> own;
+  std::vector<Connection*> host_connections;
   for (const auto& connection : connections_) {
-    if (connection->host == address && !connection->closed) own.push_back(connection.get());
+    if (connection->host == address && !connection->closed) host_connections.push_back(connection.get());
   }
   const auto max_connections =
       static_cast<std::size_t>(static_cast<double>(traits_.max_connections) * std::max(1.0, crowd_factor_));
-  if (own.size() < max_connections && (own.empty() || DrawUniform() < 0.2)) return Connect(host);
-  return own[random_() % own.size()];
+  if (host_connections.size() < max_connections && (host_connections.empty() || DrawUniform() < 0.2))
+    return Connect(host);
+  return host_connections[random_() % host_connections.size()];
 }
 
 ClientStandIn::Connection* ClientStandIn::Connect(int host) {
--- a/src/lab/soak/exchange_stand_in.cpp
+++ b/src/lab/soak/exchange_stand_in.cpp
@@ -131,11 +131,11 @@
 }
 
 void ExchangeStandIn::OnConnectionClosed(Connection* connection) {
-  std::vector<std::string> broken;
+  std::vector<std::string> abandoned;
   for (const auto& [id, attempt] : attempts_) {
-    if (attempt.connection == connection) broken.push_back(id);
+    if (attempt.connection == connection) abandoned.push_back(id);
   }
-  for (const std::string& id : broken) {
+  for (const std::string& id : abandoned) {
     LogEvent(EventKind::kAttemptAbandoned, connection->softswitch, id);
     attempts_.erase(id);
   }
@@ -185,9 +185,9 @@
   attempt.connection = connection;
   if (DrawChance(traits_.no_answer_share)) return;
   attempt.answer = std::make_unique<core::Timer>(runtime_);
-  const auto after =
+  const auto answer_delay =
       std::exponential_distribution<double>(1.0 / static_cast<double>(traits_.mean_answer_delay))(random_);
-  attempt.answer->Start(static_cast<TimeUs>(after), [this, id] { AnswerSetUp(id); });
+  attempt.answer->Start(static_cast<TimeUs>(answer_delay), [this, id] { AnswerSetUp(id); });
 }
 
 void ExchangeStandIn::AnswerSetUp(const std::string& id) {
@@ -199,7 +199,8 @@
   }
   Connection* const connection = found->second.connection;
   const int softswitch = connection->softswitch;
-  const std::unique_ptr<core::Timer> kept = std::move(found->second.answer);
+  // This function runs in the callback of the timer, which is kept until it returns.
+  const std::unique_ptr<core::Timer> running_timer = std::move(found->second.answer);
   attempts_.erase(found);
   if (DrawChance(traits_.close_share)) {
     LogEvent(EventKind::kAttemptReset, softswitch, id);
@@ -225,9 +226,9 @@
   call.softswitch = softswitch;
   call.connection = connection;
   call.end = std::make_unique<core::Timer>(runtime_);
-  const auto hold =
+  const auto holding_time =
       std::exponential_distribution<double>(1.0 / static_cast<double>(traits_.mean_holding_time))(random_);
-  call.end->Start(static_cast<TimeUs>(hold), [this, id] { EndCall(id); });
+  call.end->Start(static_cast<TimeUs>(holding_time), [this, id] { EndCall(id); });
   ++used_circuits_[softswitch];
   if (traits_.reports_circuits) SendReport(connection);
 }
@@ -239,7 +240,8 @@
   const int softswitch = found->second.softswitch;
   Connection* const connection =
       found->second.connection != nullptr ? found->second.connection : NewestConnection(softswitch);
-  const std::unique_ptr<core::Timer> kept = std::move(found->second.end);
+  // This function runs in the callback of the timer, which is kept until it returns.
+  const std::unique_ptr<core::Timer> running_timer = std::move(found->second.end);
   calls_.erase(found);
   --used_circuits_[softswitch];
   if (connection == nullptr) {
--- a/src/lab/soak/judge.cpp
+++ b/src/lab/soak/judge.cpp
@@ -71,7 +71,7 @@
  public:
   VerdictBuilder(const std::vector<TrialEvent>& events, const JudgeSettings& settings)
       : events_(events), settings_(settings) {
-    if (!events.empty()) end_ = events.back().at;
+    if (!events.empty()) log_end_ = events.back().at;
     for (const TrialEvent& event : events) Collect(event);
   }
 
@@ -138,7 +138,7 @@
 
   const std::vector<TrialEvent>& events_;
   JudgeSettings settings_;
-  TimeUs end_ = 0;
+  TimeUs log_end_ = 0;
   std::map<std::string, CallHistory> calls_;
   std::map<int, Process> processes_;
   std::map<std::pair<int, std::uint32_t>, std::vector<Interval>> connections_;  // of clients, by softswitch and host
@@ -149,7 +149,7 @@
 };
 
 void VerdictBuilder::CollectAttempt(const TrialEvent& event, CallHistory& call) {
-  const auto end = [&](bool needs_resend_guard) {
+  const auto finish_attempt = [&](bool needs_resend_guard) {
     for (auto attempt = call.attempts.rbegin(); attempt != call.attempts.rend(); ++attempt) {
       if (attempt->exchange != event.exchange || attempt->finished) continue;
       attempt->finished = event.at;
@@ -166,13 +166,13 @@
     case EventKind::kAttemptAnswered:
       call.answered_at_exchange = true;
       call.exchange_descriptions.insert("exchange " + std::to_string(event.exchange) + " call " + event.call);
-      end(false);
+      finish_attempt(false);
       break;
     case EventKind::kAttemptRefused:
-      end(false);
+      finish_attempt(false);
       break;
     default:
-      end(true);
+      finish_attempt(true);
       break;
   }
 }
@@ -214,7 +214,7 @@
 }
 
 void VerdictBuilder::CollectCall(const TrialEvent& event, CallHistory& call) {
-  const auto first = [&event](std::optional<TimeUs>& time) {
+  const auto set_first = [&event](std::optional<TimeUs>& time) {
     if (!time) time = event.at;
   };
   switch (event.kind) {
@@ -224,25 +224,25 @@
       call.host = event.host;
       break;
     case EventKind::kSetUpCancelled:
-      first(call.cancelled);
+      set_first(call.cancelled);
       break;
     case EventKind::kAnswerReceived:
       ++call.answers;
-      first(call.answered);
+      set_first(call.answered);
       call.description = event.text;
       break;
     case EventKind::kReleaseReceived:
       call.releases += event.text.empty() ? 1 : 0;
-      first(call.released);
+      set_first(call.released);
       break;
     case EventKind::kReleaseSent:
-      first(call.released_by_client);
+      set_first(call.released_by_client);
       break;
     case EventKind::kCallAnnounced:
       call.announced = event.at;
       break;
     case EventKind::kClosedBeforeAnswer:
-      first(call.closed_before_answer);
+      set_first(call.closed_before_answer);
       call.close_reason = event.text;
       break;
     case EventKind::kAttemptArrived:
@@ -253,13 +253,13 @@
       CollectAttempt(event, call);
       break;
     case EventKind::kCallEnded:
-      first(call.ended);
+      set_first(call.ended);
       break;
     case EventKind::kCallEndedSilently:
-      first(call.ended_silently);
+      set_first(call.ended_silently);
       break;
     case EventKind::kCallReleased:
-      first(call.released_at_exchange);
+      set_first(call.released_at_exchange);
       break;
     default:
       break;
@@ -364,7 +364,7 @@
     if (call.closed_before_answer)
       return AddViolation(Check::kFinalAnswer, *call.closed_before_answer, id,
                           "its connection ended before the answer (" + call.close_reason + ")");
-    if (deadline <= end_) AddViolation(Check::kFinalAnswer, deadline, id, "no answer in time");
+    if (deadline <= log_end_) AddViolation(Check::kFinalAnswer, deadline, id, "no answer in time");
     return;
   }
   const auto sigterm = SigtermBefore(call.softswitch, *process_end);
@@ -440,7 +440,7 @@
   // The process that received the release ended before the caller reconnected, so the release is lost.
   if (call.ended && ProcessEndWithin(call.softswitch, *call.ended, *reachable_since)) return;
   limit = std::max(limit, *reachable_since + kReleaseReportTimeout + kTimingTolerance);
-  if (limit > end_) return;
+  if (limit > log_end_) return;
   CountCheck(Check::kCallEnd);
   if (call.released && *call.released <= limit) return;
   const std::string cause = call.ended_silently ? "ended without a release"
@@ -535,7 +535,7 @@
     }
   }
   for (const auto& [softswitch, at] : started) {
-    if (at + kReadyTimeout < end_)
+    if (at + kReadyTimeout < log_end_)
       AddViolation(Check::kRestart, at + kReadyTimeout, "", "n" + std::to_string(softswitch) + " not ready in time");
   }
 }
@@ -548,7 +548,7 @@
       CountCheck(Check::kBadClient);
       continue;
     }
-    if (deadline > end_ || ProcessEndWithin(key.first, connected_at, deadline)) continue;
+    if (deadline > log_end_ || ProcessEndWithin(key.first, connected_at, deadline)) continue;
     CountCheck(Check::kBadClient);
     AddViolation(Check::kBadClient, deadline, "",
                  "bad client " + std::to_string(key.second) + " of n" + std::to_string(key.first) +
--- a/src/lab/soak/trial.cpp
+++ b/src/lab/soak/trial.cpp
@@ -46,7 +46,7 @@
   explicit Addresses(int slot) : base_(127U << 24U | (32U + static_cast<std::uint32_t>(slot)) << 16U) {}
   core::Address Exchange(int softswitch, int exchange) const { return At(10 + softswitch, 1 + exchange, 5080); }
   core::Address ExchangeUpstream(int softswitch, int exchange) const { return At(10 + softswitch, 1 + exchange, 6080); }
-  core::Address Discovery(int softswitch, int which) const { return At(50 + softswitch, 1 + which, 9092); }
+  core::Address Discovery(int softswitch, int index) const { return At(50 + softswitch, 1 + index, 9092); }
   core::Address DiscoveryUpstream(int softswitch) const { return At(50 + softswitch, 1, 9093); }
   core::Address Softswitch(int softswitch) const { return At(90 + softswitch, 1, 5080); }
   std::uint32_t FirstClientHost(int softswitch) const { return At(130 + softswitch, 1, 0).host; }
@@ -82,7 +82,7 @@
     bool draining = false;
   };
 
-  void RunAfter(TimeUs delay, std::function<void()> what) { runtime_.StartTimer(delay, std::move(what)); }
+  void RunAfter(TimeUs delay, std::function<void()> callback) { runtime_.StartTimer(delay, std::move(callback)); }
   std::string Configuration(int softswitch) const;
   void ListExchange(int exchange, const std::string& state, std::int64_t boot_ms = 0);
   void StartFleet();
@@ -142,9 +142,9 @@
     Softswitch& softswitch = softswitches_[static_cast<std::size_t>(s)];
     softswitch.discovery =
         std::make_unique<DiscoveryStandIn>(&runtime_, &event_log_, s, addresses_.DiscoveryUpstream(s));
-    for (int which = 0; which < 2; ++which) {
+    for (int index = 0; index < 2; ++index) {
       softswitch.discovery_proxies.push_back(std::make_unique<FaultProxy>(
-          &runtime_.context(), addresses_.Discovery(s, which), addresses_.DiscoveryUpstream(s), schedule.seed));
+          &runtime_.context(), addresses_.Discovery(s, index), addresses_.DiscoveryUpstream(s), schedule.seed));
     }
     softswitch.process = std::make_unique<SoftswitchProcess>(options.program, options.folder, "n" + std::to_string(s));
     softswitch.clients = std::make_unique<ClientStandIn>(
@@ -295,8 +295,8 @@
 
 void Trial::InjectExchangeFault(const Fault& fault, Exchange& exchange) {
   Exchange* const exchange_ptr = &exchange;
-  const auto for_each_proxy = [exchange_ptr](const auto& what) {
-    for (const auto& proxy : exchange_ptr->proxies) what(*proxy);
+  const auto for_each_proxy = [exchange_ptr](const auto& action) {
+    for (const auto& proxy : exchange_ptr->proxies) action(*proxy);
   };
   switch (fault.kind) {
     case FaultKind::kVanish:
@@ -318,8 +318,8 @@
     case FaultKind::kCutOneWay: {
       FaultProxy* const proxy =
           exchange.proxies[static_cast<std::size_t>(fault.target) % exchange.proxies.size()].get();
-      const bool up = fault.duration % 2 == 0;
-      proxy->SetForwarding({!up, up});
+      const bool block_upstream = fault.duration % 2 == 0;
+      proxy->SetForwarding({!block_upstream, block_upstream});
       return RunAfter(fault.duration, [proxy] { proxy->SetForwarding({}); });
     }
     case FaultKind::kReset:
@@ -492,12 +492,13 @@
   });
   RunAfter(280 * kMs, [this, number] {
     Softswitch& current = softswitches_[static_cast<std::size_t>(number)];
-    FaultProxy* const old = current.discovery_proxies[static_cast<std::size_t>(current.discovery_proxy_index)].get();
+    FaultProxy* const old_proxy =
+        current.discovery_proxies[static_cast<std::size_t>(current.discovery_proxy_index)].get();
     current.discovery_proxy_index = 1 - current.discovery_proxy_index;
     current.process->WriteConfiguration(Configuration(number));
     if (!current.restarting) current.process->Signal(SIGHUP);
     // The old address closes its open connections some time later.
-    RunAfter(1'500 * kMs, [old] { old->CloseIdle(0); });
+    RunAfter(1'500 * kMs, [old_proxy] { old_proxy->CloseIdle(0); });
   });
 }
 
