--- a/src/lab/soak/discovery_stand_in.cpp
+++ b/src/lab/soak/discovery_stand_in.cpp
@@ -32,7 +32,7 @@
 }  // namespace
 
 // A request of the softswitch and its unbounded response.
-class DiscoveryStandIn::Watch final : public core::StreamSink {
+class DiscoveryStandIn::Watch final : public core::StreamHandler {
  public:
   Watch(DiscoveryStandIn* owner, std::unique_ptr<core::Stream> accepted) : stream(std::move(accepted)), owner_(owner) {}
   void OnBytes(std::string_view bytes) override {
@@ -70,7 +70,7 @@
 
 DiscoveryStandIn::~DiscoveryStandIn() = default;
 
-core::StreamSink* DiscoveryStandIn::OnAccept(std::unique_ptr<core::Stream> stream) {
+core::StreamHandler* DiscoveryStandIn::OnAccept(std::unique_ptr<core::Stream> stream) {
   watches_.push_back(std::make_unique<Watch>(this, std::move(stream)));
   return watches_.back().get();
 }
--- a/src/lab/soak/discovery_stand_in.h
+++ b/src/lab/soak/discovery_stand_in.h
@@ -36,7 +36,7 @@
   void SetSilent(bool silent);
   // The current directory, as the value of `known` in a configuration.
   nlohmann::json KnownDirectory() const;
-  core::StreamSink* OnAccept(std::unique_ptr<core::Stream> stream) override;
+  core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override;
 
  private:
   class Watch;
--- a/src/lab/soak/trial.cpp
+++ b/src/lab/soak/trial.cpp
@@ -219,7 +219,7 @@
 
 void Trial::AnnounceColdStart(Exchange& exchange) {
   event_log_.Append({.kind = EventKind::kColdStart, .exchange = exchange.stand_in->instance()});
-  ListExchange(SlotOf(exchange), exchange.draining ? "Terminating" : "Ready", runtime_.WallUs() / 1000);
+  ListExchange(SlotOf(exchange), exchange.draining ? "Terminating" : "Ready", runtime_.WallClockUs() / 1000);
 }
 
 void Trial::ListExchange(int slot, const std::string& state, std::int64_t boot_ms) {
