--- a/fuzz/flow_fuzz.cpp
+++ b/fuzz/flow_fuzz.cpp
@@ -1,21 +1,21 @@
-// Flow messages of any octets: as one datagram, and as a stream of messages.
+// Decodes arbitrary octets as one datagram and as a stream of messages.
 #include "flow/decode.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace croftrun::flow;
   std::string_view rest(reinterpret_cast<const char*>(data), size);
   Decoder decoder;
-  const auto look = [](const DecodedRecord& record) {
-    for (const DecodedField& field : record.fields) ListOf(field.octets);
+  const auto read_fields = [](const DecodedRecord& record) {
+    for (const DecodedField& field : record.fields) ReadBasicList(field.octets);
     record.Number(Source::kCall);
     record.Text(Source::kCalled);
   };
   std::string error;
-  decoder.Message(rest, look, &error);
+  decoder.Message(rest, read_fields, &error);
   while (!rest.empty()) {
     const std::size_t length = Decoder::LengthOfNext(rest);
     if (length <= 1 || length > rest.size()) break;
-    decoder.Message(rest.substr(0, length), look, &error);
+    decoder.Message(rest.substr(0, length), read_fields, &error);
     rest.remove_prefix(length);
   }
   return 0;
--- a/fuzz/spool_fuzz.cpp
+++ b/fuzz/spool_fuzz.cpp
@@ -1,4 +1,4 @@
-// Segments of the spool of any octets, alone and as what an earlier run left.
+// Reads arbitrary octets as a spool segment, directly and as a file that an earlier run left.
 #include "flow/spool.h"
 #include "sim/memory_disk.h"
 
@@ -6,7 +6,7 @@
   using namespace croftrun;
   const std::string octets(reinterpret_cast<const char*>(data), size);
   const flow::ScannedSegment scanned = flow::ScanSegment(octets);
-  if (scanned.sound_octets > size) __builtin_trap();
+  if (scanned.valid_octets > size) __builtin_trap();
   sim::MemoryDisk disk;
   disk.files()["spool/0-0000000000000003.seg"] = {octets, size};
   disk.files()["spool/0-0000000000000003.at"] = {octets.substr(0, 8), 8};
--- a/src/cli/flow.cpp
+++ b/src/cli/flow.cpp
@@ -1,4 +1,5 @@
-// croftrun flow decode|report: what flow records say, from a file of IPFIX messages (RFC 5655) or as they come.
+// croftrun flow decode|report: prints or summarises flow records from a file of IPFIX messages (RFC 5655) or, for
+// decode, as they are received.
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -19,17 +20,18 @@
 using flow::Source;
 using nlohmann::json;
 
-constexpr std::size_t kMostBytes = std::size_t{1} << 30U;
+constexpr std::size_t kMaxFileBytes = std::size_t{1} << 30U;
 
-// With the names that we know; others by number.
+// Converts a record to JSON. Unknown elements are named by enterprise number and element number.
 json ToJson(const DecodedRecord& record, std::uint32_t enterprise) {
-  json out = {{"domain", record.domain}, {"template", record.template_id}};
+  json out = {{"domain", record.observation_domain}, {"template", record.template_id}};
   for (const flow::DecodedField& field : record.fields) {
     flow::Element element;
-    const bool v9_own = field.enterprise == 0 && field.id > flow::kV9Own;
-    const bool known = v9_own ? flow::FindElement(enterprise, static_cast<std::uint16_t>(field.id - flow::kV9Own),
-                                                  enterprise, &element)
-                              : flow::FindElement(field.enterprise, field.id, enterprise, &element);
+    const bool v9_enterprise = field.enterprise == 0 && field.id > flow::kV9EnterpriseBase;
+    const bool known =
+        v9_enterprise ? flow::FindElement(enterprise, static_cast<std::uint16_t>(field.id - flow::kV9EnterpriseBase),
+                                          enterprise, &element)
+                      : flow::FindElement(field.enterprise, field.id, enterprise, &element);
     const std::string name =
         known ? std::string(element.name) : std::to_string(field.enterprise) + "/" + std::to_string(field.id);
     if (known && element.type == flow::DataType::kString) {
@@ -38,30 +40,30 @@
       for (const char c : text) printable += c >= ' ' && c <= '~' ? c : '?';
       out[name] = printable;
     } else if (known && element.type == flow::DataType::kBasicList) {
-      out[name] = flow::ListOf(field.octets);
+      out[name] = flow::ReadBasicList(field.octets);
     } else {
-      out[name] = flow::UnsignedOf(field.octets.substr(0, 8));
+      out[name] = flow::ReadUnsigned(field.octets.substr(0, 8));
     }
   }
   return out;
 }
 
-// Calls `on_record` for each record of a file. False: what is wrong was told.
+// Calls `on_record` for each record of a file. Returns false, after printing the error, if the file is at fault.
 bool ReadFlowFile(const std::string& file, const flow::Decoder::OnRecord& on_record) {
   std::vector<config::Mistake> unread;
-  const std::string all = config::ReadFile(file, kMostBytes, &unread);
+  const std::string content = config::ReadFile(file, kMaxFileBytes, &unread);
   if (!unread.empty()) {
     std::cerr << "croftrun: " << config::ToString(unread);
     return false;
   }
   flow::Decoder decoder;
-  std::string_view rest = all;
+  std::string_view rest = content;
   while (!rest.empty()) {
     const std::size_t length = flow::Decoder::LengthOfNext(rest);
-    std::string error = "expected a message, found its end";
-    const bool whole = length > 1 && length <= rest.size();
-    if (!whole || !decoder.Message(rest.substr(0, length), on_record, &error)) {
-      std::cerr << file << ": octet " << all.size() - rest.size() << ": " << error << "\n";
+    std::string error = "expected a whole IPFIX message, found other data or the end of the file";
+    const bool is_complete = length > 1 && length <= rest.size();
+    if (!is_complete || !decoder.Message(rest.substr(0, length), on_record, &error)) {
+      std::cerr << file << ": octet " << content.size() - rest.size() << ": " << error << "\n";
       return false;
     }
     rest.remove_prefix(length);
@@ -81,14 +83,14 @@
   if (!core::ParseAddress(options.from, &address)) return ReadFlowFile(options.from, print) ? kDone : kBadInput;
   lab::Collector collector(address);
   collector.OnRecord(print);
-  std::ofstream kept;
+  std::ofstream copy;
   if (!options.out.empty()) {
-    kept.open(options.out, std::ios::binary);
-    if (!kept) {
+    copy.open(options.out, std::ios::binary);
+    if (!copy) {
       std::cerr << "cannot write " << options.out << "\n";
       return kCannotRun;
     }
-    collector.OnMessage([&](std::string_view message) { kept << message; });
+    collector.OnMessage([&](std::string_view message) { copy << message; });
   }
   if (!options.certificate.empty()) collector.UseTls(options.certificate, options.key, options.authorities);
   const bool tcp = options.tcp || !options.certificate.empty();
@@ -103,16 +105,16 @@
 }
 
 int ReportFlow(const FlowRun& options) {
-  flow::Shift shift;
-  if (!ReadFlowFile(options.from, [&](const DecodedRecord& record) { shift.Add(record); })) return kBadInput;
-  const std::uint64_t first = shift.begins();
+  flow::AttemptReport report;
+  if (!ReadFlowFile(options.from, [&](const DecodedRecord& record) { report.Add(record); })) return kBadInput;
+  const std::uint64_t first = report.start_ms();
   const auto after_first = [&](double seconds) {
     return first + static_cast<std::uint64_t>(std::max(0.0, seconds) * 1000.0);
   };
   const std::uint64_t split = options.split_ms > 0 ? options.split_ms : after_first(options.split_s);
-  const auto groups = shift.Groups(split, options.bin_ms);
+  const auto groups = report.SumByGroup(split, options.bin_ms);
   if (!options.svg.empty()) {
-    flow::Shift::Picture picture{options.title, options.bin_ms, {}};
+    flow::AttemptReport::Chart chart{options.title, options.bin_ms, {}};
     for (const std::string& mark : options.marks) {
       const std::size_t equals = mark.find('=');
       char* end = nullptr;
@@ -121,20 +123,22 @@
         std::cerr << "--mark: expected SECONDS=TEXT, found \"" << mark << "\"\n";
         return kUsage;
       }
-      picture.marks.emplace_back(after_first(seconds), mark.substr(equals + 1));
+      chart.marks.emplace_back(after_first(seconds), mark.substr(equals + 1));
     }
     std::ofstream file(options.svg);
-    file << shift.Svg(picture);
+    file << report.RenderSvg(chart);
     if (!file.flush()) {
       std::cerr << "cannot write " << options.svg << "\n";
       return kCannotRun;
     }
   }
   if (options.json) {
-    json out = {
-        {"attempts", shift.attempts()}, {"repeated", shift.repeated()}, {"split_ms", split}, {"groups", json::array()}};
-    const auto part = [](const flow::Shift::Sums& s) {
-      return json{{"sent", s.sent()}, {"stood", s.direct + s.by_way_of}, {"by_way_of", s.by_way_of}};
+    json out = {{"attempts", report.attempts()},
+                {"repeated", report.repeated()},
+                {"split_ms", split},
+                {"groups", json::array()}};
+    const auto part = [](const flow::AttemptReport::Sums& s) {
+      return json{{"sent", s.sent()}, {"stood", s.direct + s.via_tandem}, {"by_way_of", s.via_tandem}};
     };
     for (const auto& g : groups)
       out["groups"].push_back(
@@ -147,8 +151,8 @@
   for (const auto& g : groups) {
     const auto n = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
     std::printf("%-8llu %-8llu %10llu %10llu %10llu   %10llu %10llu %10llu\n", n(g.exchange), n(g.group),
-                n(g.before.sent()), n(g.before.direct + g.before.by_way_of), n(g.before.by_way_of), n(g.after.sent()),
-                n(g.after.direct + g.after.by_way_of), n(g.after.by_way_of));
+                n(g.before.sent()), n(g.before.direct + g.before.via_tandem), n(g.before.via_tandem), n(g.after.sent()),
+                n(g.after.direct + g.after.via_tandem), n(g.after.via_tandem));
   }
   return kDone;
 }
--- a/src/flow/backlog.h
+++ b/src/flow/backlog.h
@@ -1,5 +1,5 @@
-// Records that wait for one collector: bounded, and when full the least important goes first, of its kind the oldest.
-// No I/O.
+// A bounded queue of the records that wait for one collector. When it is full, the oldest record of the least important
+// rank is dropped first. No I/O.
 #ifndef CROFTRUN_FLOW_BACKLOG_H_
 #define CROFTRUN_FLOW_BACKLOG_H_
 
@@ -13,23 +13,26 @@
 
 class Backlog {
  public:
-  explicit Backlog(std::size_t most) : most_(most) {}
+  explicit Backlog(std::size_t max_records) : max_records_(max_records) {}
 
+  // Adds a record. When the backlog is full, the record replaces a less or equally important one or is dropped itself.
   void Push(const FlowRecord& record) {
-    if (size_ >= most_ && !MakeRoom(record.kind)) {
+    if (size_ >= max_records_ && !EvictLessImportant(record.kind)) {
       ++dropped_[static_cast<std::size_t>(record.kind)];
       return;
     }
     queues_[RankOf(record.kind)].push_back(record);
     ++size_;
   }
-  // Calls first, then attempts: after an outage the news that matters most goes ahead. Null when empty.
+  // The next record to send: the oldest of the most important rank (see RankOf), so that after an outage the most
+  // important records are sent first. Null when the backlog is empty.
   const FlowRecord* Front() const {
     for (const auto& queue : queues_) {
       if (!queue.empty()) return &queue.front();
     }
     return nullptr;
   }
+  // Removes the record that Front returns.
   void Pop() {
     for (auto& queue : queues_) {
       if (queue.empty()) continue;
@@ -38,24 +41,25 @@
       return;
     }
   }
-  // The oldest of a rank, `most` at most, taken out: for the spool. Nothing left of a rank: empty.
-  std::vector<FlowRecord> Take(std::size_t rank, std::size_t most) {
+  // Removes and returns the oldest records of a rank, at most `max_records`, for the spool. Empty if the rank has none.
+  std::vector<FlowRecord> TakeOldest(std::size_t rank, std::size_t max_records) {
     auto& queue = queues_[rank];
-    const auto end = queue.begin() + static_cast<std::ptrdiff_t>(std::min(most, queue.size()));
+    const auto end = queue.begin() + static_cast<std::ptrdiff_t>(std::min(max_records, queue.size()));
     std::vector<FlowRecord> taken(queue.begin(), end);
     queue.erase(queue.begin(), end);
     size_ -= taken.size();
     return taken;
   }
-  // Back to where they were, in the same order.
+  // Inserts records at the front of a rank, in the given order. May evict others to stay within the bound.
   void PutBack(std::size_t rank, const std::vector<FlowRecord>& records) {
     queues_[rank].insert(queues_[rank].begin(), records.begin(), records.end());
     size_ += records.size();
-    while (size_ > most_ && MakeRoom(RecordKind::kCall)) {
+    while (size_ > max_records_ && EvictLessImportant(RecordKind::kCall)) {
     }
   }
-  std::size_t most() const { return most_; }
+  std::size_t max_records() const { return max_records_; }
   std::size_t size() const { return size_; }
+  // Number of records dropped so far, of one kind or in all.
   std::uint64_t dropped(RecordKind kind) const { return dropped_[static_cast<std::size_t>(kind)]; }
   std::uint64_t dropped() const {
     std::uint64_t sum = 0;
@@ -64,8 +68,9 @@
   }
 
  private:
-  // Drops one that matters less than this kind, or as much but is older. False: there is none.
-  bool MakeRoom(RecordKind kind) {
+  // Drops the oldest record of the least important rank, if that rank is not more important than that of `kind`.
+  // Returns false if there is no such record.
+  bool EvictLessImportant(RecordKind kind) {
     for (std::size_t rank = queues_.size(); rank-- > RankOf(kind);) {
       if (queues_[rank].empty()) continue;
       ++dropped_[static_cast<std::size_t>(queues_[rank].front().kind)];
@@ -76,7 +81,7 @@
     return false;
   }
 
-  std::size_t most_, size_ = 0;
+  std::size_t max_records_, size_ = 0;
   std::array<std::deque<FlowRecord>, kRecordKinds> queues_;
   std::array<std::uint64_t, kRecordKinds> dropped_{};
 };
--- a/src/flow/decode.h
+++ b/src/flow/decode.h
@@ -1,5 +1,5 @@
-// Messages of IPFIX and NetFlow v9 to records: what the collector stand-in and `croftrun flow` read by. Bounds-checked;
-// whatever comes, it ends with records or an error, and what it keeps is bounded. Sources: RFC 7011, 6313, 3954.
+// Decodes messages of IPFIX and NetFlow v9, for the collector stand-in and `croftrun flow`. All reads are
+// bounds-checked: any input yields records or an error. The stored state is bounded. Sources: RFC 7011, 6313, 3954.
 #ifndef CROFTRUN_FLOW_DECODE_H_
 #define CROFTRUN_FLOW_DECODE_H_
 
@@ -15,64 +15,77 @@
 
 namespace croftrun::flow {
 
+// A field value of a data record.
 struct DecodedField {
   std::uint32_t enterprise = 0;
   std::uint16_t id = 0;
-  std::string_view octets;  // into the message
+  std::string_view octets;  // points into the message
 };
+// A data record; valid only while its message is.
 struct DecodedRecord {
-  std::uint32_t domain = 0;
+  std::uint32_t observation_domain = 0;
   std::uint16_t template_id = 0;
-  bool options = false;
+  bool options = false;  // described by an options template
   std::vector<DecodedField> fields;
+  // The field of this source; null if the record has none.
   const DecodedField* Find(Source source, std::uint32_t own_enterprise = kDocumentationEnterprise) const;
-  std::uint64_t Number(Source source) const;  // 0 where it is not
+  // The value of a field as a number or a text; 0 or empty if the record has no such field.
+  std::uint64_t Number(Source source) const;
   std::string_view Text(Source source) const;
 };
 
-std::uint64_t UnsignedOf(std::string_view octets);
-// The elements of a basicList of fixed-length values; nothing if it is malformed.
-std::vector<std::uint64_t> ListOf(std::string_view octets);
+// Reads an unsigned number in network byte order.
+std::uint64_t ReadUnsigned(std::string_view octets);
+// The values of a basicList of fixed-length numbers (RFC 6313); empty if its header is malformed.
+std::vector<std::uint64_t> ReadBasicList(std::string_view octets);
 
+// Decodes the messages of any number of observation domains, as a collecting process does.
 class Decoder {
  public:
   struct Counters {
     std::uint64_t messages = 0, records = 0, options = 0, templates = 0, malformed = 0, without_template = 0;
-    std::uint64_t lost = 0;  // records (v9: messages) that the sequence numbers say are missing
+    std::uint64_t lost = 0;  // records (v9: messages) missing according to the sequence numbers
   };
   using OnRecord = std::function<void(const DecodedRecord&)>;
 
-  // One whole message. False: `error` says what was wrong and at which octet; records before that were given.
+  // Decodes one whole message. Returns false, with a description in `error`, if it is malformed; records before the
+  // fault have been delivered.
   bool Message(std::string_view octets, const OnRecord& on_record, std::string* error);
-  // The length of the message that begins a stream; 0: more is needed to tell; nothing of a stream can follow octets
-  // that are no header, for which 1 is returned.
+  // The length of the message at the front of a stream; 0 if more octets are needed to tell. Returns 1 if the stream
+  // does not start with a message header, as the rest of the stream then cannot be decoded.
   static std::size_t LengthOfNext(std::string_view stream);
+  // Counters since construction; Forget leaves them as they are.
   const Counters& counters() const { return counters_; }
-  // As a collector that was restarted: templates and sequence numbers are forgotten.
+  // Discards all templates and sequence numbers, like a collecting process that restarts.
   void Forget();
 
  private:
-  struct Spec {
+  // A field specifier.
+  struct FieldSpecifier {
     std::uint32_t enterprise = 0;
     std::uint16_t id = 0, length = 0;
   };
-  struct Known {
-    std::vector<Spec> fields;
-    std::size_t scopes = 0;
+  // A received template.
+  struct StoredTemplate {
+    std::vector<FieldSpecifier> fields;
+    std::size_t scope_count = 0;
   };
-  struct Context {
+  // The message being decoded.
+  struct MessageContext {
     Protocol protocol = Protocol::kIpfix;
-    std::uint32_t domain = 0;
+    std::uint32_t observation_domain = 0;
     std::uint64_t records = 0;
   };
-  bool Set(std::string_view set, std::uint16_t id, Context* context, const OnRecord& on_record, std::string* error);
-  bool Templates(std::string_view set, bool options, const Context& context, std::string* error);
-  bool Data(std::string_view set, const Known& known, std::uint16_t id, Context* context, const OnRecord& on_record,
-            std::string* error);
+  bool DecodeSet(std::string_view set, std::uint16_t id, MessageContext* context, const OnRecord& on_record,
+                 std::string* error);
+  bool DecodeTemplateSet(std::string_view set, bool options, const MessageContext& context, std::string* error);
+  bool DecodeDataSet(std::string_view set, const StoredTemplate& known, std::uint16_t id, MessageContext* context,
+                     const OnRecord& on_record, std::string* error);
   bool Fail(std::string* error, std::string text);
 
-  std::map<std::pair<std::uint32_t, std::uint16_t>, Known> templates_;  // by domain and id
-  std::map<std::uint32_t, std::uint32_t> next_;                         // by domain, the sequence number expected
+  std::map<std::pair<std::uint32_t, std::uint16_t>, StoredTemplate>
+      templates_;                                         // by observation domain and template ID
+  std::map<std::uint32_t, std::uint32_t> next_sequence_;  // next sequence number, by observation domain
   Counters counters_;
 };
 
--- a/src/flow/elements.cpp
+++ b/src/flow/elements.cpp
@@ -9,15 +9,15 @@
 using D = DataType;
 using S = Semantics;
 
-struct Entry {
+struct ElementEntry {
   Source source;
   Element element;
 };
 
-constexpr Entry kEntries[] = {
+constexpr ElementEntry kElements[] = {
     {Source::kCall, {148, false, D::kUnsigned64, S::kIdentifier, "flowId", ""}},
-    {Source::kStart, {152, false, D::kMilliseconds, S::kDefault, "flowStartMilliseconds", ""}},
-    {Source::kEnd, {153, false, D::kMilliseconds, S::kDefault, "flowEndMilliseconds", ""}},
+    {Source::kStart, {152, false, D::kDateTimeMilliseconds, S::kDefault, "flowStartMilliseconds", ""}},
+    {Source::kEnd, {153, false, D::kDateTimeMilliseconds, S::kDefault, "flowEndMilliseconds", ""}},
     {Source::kDuration, {161, false, D::kUnsigned32, S::kDefault, "flowDurationMilliseconds", ""}},
     {Source::kEndReason, {136, false, D::kUnsigned8, S::kIdentifier, "flowEndReason", ""}},
     {Source::kGroupIn, {10, false, D::kUnsigned32, S::kIdentifier, "ingressInterface", ""}},
@@ -30,7 +30,7 @@
     {Source::kInfoSemantics, {344, false, D::kUnsigned8, S::kDefault, "informationElementSemantics", ""}},
     {Source::kInfoName, {341, false, D::kString, S::kDefault, "informationElementName", ""}},
     {Source::kInfoDescription, {340, false, D::kString, S::kDefault, "informationElementDescription", ""}},
-    {Source::kTried, {291, false, D::kBasicList, S::kDefault, "basicList", ""}},
+    {Source::kAttemptedExchanges, {291, false, D::kBasicList, S::kDefault, "basicList", ""}},
     {Source::kExchange,
      {1, true, D::kUnsigned32, S::kIdentifier, "exchange", "Number of the exchange whose softswitch exports"}},
     {Source::kOrigin, {2, true, D::kUnsigned32, S::kIdentifier, "originExchange", "Exchange where the call began"}},
@@ -42,7 +42,7 @@
     {Source::kClass,
      {6, true, D::kString, S::kDefault, "callClass", "Class of the call, by the rules or the number plan"}},
     {Source::kCustomer, {7, true, D::kUnsigned16, S::kIdentifier, "customer", "Customer, by number in the settings"}},
-    {Source::kAnswer,
+    {Source::kFinalAnswer,
      {8, true, D::kUnsigned8, S::kIdentifier, "finalAnswer", "0 hung up before, 1 stands, 2 refused, 3 failed"}},
     {Source::kOutcome,
      {9, true, D::kUnsigned8, S::kIdentifier, "attemptOutcome",
@@ -50,13 +50,13 @@
     {Source::kCause,
      {10, true, D::kUnsigned8, S::kIdentifier, "releaseCause",
       "Of a call: Q.850 cause; of an attempt: cause as the decision module numbers it"}},
-    {Source::kSetUp,
+    {Source::kSetUpDelay,
      {11, true, D::kUnsigned32, S::kQuantity, "setUpDelayMicroseconds",
       "From the digits or seizure to the answer; 0 if it never stood"}},
     {Source::kAttempts, {12, true, D::kUnsigned8, S::kQuantity, "attemptCount", "Attempts made for the call"}},
     {Source::kAttemptNumber,
      {13, true, D::kUnsigned8, S::kIdentifier, "attemptNumber", "Of the attempts of its call, from 0"}},
-    {Source::kTandem, {14, true, D::kBoolean, S::kDefault, "viaTandem", "The attempt went to a tandem"}},
+    {Source::kViaTandem, {14, true, D::kBoolean, S::kDefault, "viaTandem", "The attempt went to a tandem"}},
     {Source::kInTransit,
      {15, true, D::kBoolean, S::kDefault, "inTransit", "This exchange is the tandem: its attempt is the second leg"}},
     {Source::kWidth,
@@ -64,19 +64,19 @@
       "Of a call: circuits that it takes on each group; of an attempt: that it held, 0 if there was none to seize and "
       "no set-up left"}},
     {Source::kPriority, {17, true, D::kUnsigned8, S::kIdentifier, "callPriority", "Priority by the rules"}},
-    {Source::kRules,
+    {Source::kRulesVersion,
      {18, true, D::kUnsigned32, S::kIdentifier, "rulesVersion",
       "Version of the rules that classified the call; 0 for none"}},
-    {Source::kSent, {377, false, D::kUnsigned64, S::kDeltaCounter, "originalFlowsCompleted", ""}},
-    {Source::kStood, {20, true, D::kUnsigned64, S::kDeltaCounter, "attemptsStood", "Of these, stood"}},
-    {Source::kTurnedBack,
+    {Source::kAttemptsSent, {377, false, D::kUnsigned64, S::kDeltaCounter, "originalFlowsCompleted", ""}},
+    {Source::kAttemptsEstablished, {20, true, D::kUnsigned64, S::kDeltaCounter, "attemptsStood", "Of these, stood"}},
+    {Source::kAttemptsRejected,
      {21, true, D::kUnsigned64, S::kDeltaCounter, "attemptsTurnedBack", "Of these, turned away as full"}},
-    {Source::kLost,
+    {Source::kAttemptsLost,
      {22, true, D::kUnsigned64, S::kDeltaCounter, "attemptsLost", "Of these, timed out, reset or could not be sent"}},
     {Source::kReplay,
      {27, true, D::kUnsigned8, S::kIdentifier, "replayed",
       "0 told as it happened; 1 from the spool; 2 possibly told before"}},
-    {Source::kSelector, {390, false, D::kUnsigned16, S::kIdentifier, "flowSelectorAlgorithm", ""}},
+    {Source::kSelectorAlgorithm, {390, false, D::kUnsigned16, S::kIdentifier, "flowSelectorAlgorithm", ""}},
     {Source::kObserved, {394, false, D::kUnsigned64, S::kTotalCounter, "selectorIDTotalFlowsObserved", ""}},
     {Source::kSelected, {395, false, D::kUnsigned64, S::kTotalCounter, "selectorIDTotalFlowsSelected", ""}},
     {Source::kRingFull,
@@ -93,53 +93,64 @@
       "Records of messages that could not be sent, or were cut off"}},
 };
 
-constexpr Field kCall[] = {
-    {Source::kCall, 8},      {Source::kStart, 8},    {Source::kEnd, 8},      {Source::kEndReason, 1},
-    {Source::kGroupIn, 4},   {Source::kExchange, 4}, {Source::kOrigin, 4},   {Source::kDestination, 4},
-    {Source::kCalled, 32},   {Source::kCalling, 64}, {Source::kClass, 32},   {Source::kCustomer, 2},
-    {Source::kAnswer, 1},    {Source::kCause, 1},    {Source::kSetUp, 4},    {Source::kAttempts, 1},
-    {Source::kInTransit, 1}, {Source::kWidth, 1},    {Source::kPriority, 1}, {Source::kRules, 4},
-    {Source::kReplay, 1},    {Source::kTried, 0}};
-constexpr Field kAttempt[] = {
+constexpr Field kCallFields[] = {{Source::kCall, 8},        {Source::kStart, 8},
+                                 {Source::kEnd, 8},         {Source::kEndReason, 1},
+                                 {Source::kGroupIn, 4},     {Source::kExchange, 4},
+                                 {Source::kOrigin, 4},      {Source::kDestination, 4},
+                                 {Source::kCalled, 32},     {Source::kCalling, 64},
+                                 {Source::kClass, 32},      {Source::kCustomer, 2},
+                                 {Source::kFinalAnswer, 1}, {Source::kCause, 1},
+                                 {Source::kSetUpDelay, 4},  {Source::kAttempts, 1},
+                                 {Source::kInTransit, 1},   {Source::kWidth, 1},
+                                 {Source::kPriority, 1},    {Source::kRulesVersion, 4},
+                                 {Source::kReplay, 1},      {Source::kAttemptedExchanges, 0}};
+constexpr Field kAttemptFields[] = {
     {Source::kCall, 8},        {Source::kAttemptNumber, 1}, {Source::kStart, 8},     {Source::kEnd, 8},
     {Source::kEndReason, 1},   {Source::kGroupIn, 4},       {Source::kGroupOut, 4},  {Source::kExchange, 4},
-    {Source::kDestination, 4}, {Source::kTandem, 1},        {Source::kInTransit, 1}, {Source::kOutcome, 1},
-    {Source::kCause, 1},       {Source::kSetUp, 4},         {Source::kWidth, 1},     {Source::kReplay, 1}};
-constexpr Field kInterval[] = {{Source::kCall, 8},        {Source::kStart, 8},    {Source::kEnd, 8},
-                               {Source::kEndReason, 1},   {Source::kExchange, 4}, {Source::kOrigin, 4},
-                               {Source::kDestination, 4}, {Source::kClass, 32},   {Source::kWidth, 1},
-                               {Source::kReplay, 1}};
-constexpr Field kGroup[] = {{Source::kExchange, 4},   {Source::kGroupOut, 4}, {Source::kStart, 8},
-                            {Source::kEnd, 8},        {Source::kSent, 8},     {Source::kStood, 8},
-                            {Source::kTurnedBack, 8}, {Source::kLost, 8},     {Source::kReplay, 1}};
-constexpr Field kCounts[] = {{Source::kExchange, 4},  {Source::kExportedRecords, 8}, {Source::kNotSent, 8},
-                             {Source::kRingFull, 8},  {Source::kQueueFull, 8},       {Source::kSpoolFull, 8},
-                             {Source::kSendFailed, 8}};
-constexpr Field kTypes[] = {{Source::kInfoEnterprise, 0}, {Source::kInfoElement, 0}, {Source::kInfoType, 0},
-                            {Source::kInfoSemantics, 0},  {Source::kInfoName, 0},    {Source::kInfoDescription, 0}};
-
-constexpr Field kSamples[] = {
-    {Source::kExchange, 4}, {Source::kSelector, 2}, {Source::kObserved, 8}, {Source::kSelected, 8}};
-
-constexpr Template kTemplates[] = {{kCallTemplate, 0, kCall},         {kAttemptTemplate, 0, kAttempt},
-                                   {kIntervalTemplate, 0, kInterval}, {kGroupTemplate, 0, kGroup},
-                                   {kCountsTemplate, 1, kCounts},     {kTypesTemplate, 2, kTypes},
-                                   {kSamplesTemplate, 1, kSamples}};
-
-constexpr auto kBySource = [] {
+    {Source::kDestination, 4}, {Source::kViaTandem, 1},     {Source::kInTransit, 1}, {Source::kOutcome, 1},
+    {Source::kCause, 1},       {Source::kSetUpDelay, 4},    {Source::kWidth, 1},     {Source::kReplay, 1}};
+constexpr Field kIntervalFields[] = {{Source::kCall, 8},        {Source::kStart, 8},    {Source::kEnd, 8},
+                                     {Source::kEndReason, 1},   {Source::kExchange, 4}, {Source::kOrigin, 4},
+                                     {Source::kDestination, 4}, {Source::kClass, 32},   {Source::kWidth, 1},
+                                     {Source::kReplay, 1}};
+constexpr Field kGroupFields[] = {{Source::kExchange, 4},
+                                  {Source::kGroupOut, 4},
+                                  {Source::kStart, 8},
+                                  {Source::kEnd, 8},
+                                  {Source::kAttemptsSent, 8},
+                                  {Source::kAttemptsEstablished, 8},
+                                  {Source::kAttemptsRejected, 8},
+                                  {Source::kAttemptsLost, 8},
+                                  {Source::kReplay, 1}};
+constexpr Field kCountsFields[] = {{Source::kExchange, 4},  {Source::kExportedRecords, 8}, {Source::kNotSent, 8},
+                                   {Source::kRingFull, 8},  {Source::kQueueFull, 8},       {Source::kSpoolFull, 8},
+                                   {Source::kSendFailed, 8}};
+constexpr Field kTypesFields[] = {{Source::kInfoEnterprise, 0}, {Source::kInfoElement, 0},
+                                  {Source::kInfoType, 0},       {Source::kInfoSemantics, 0},
+                                  {Source::kInfoName, 0},       {Source::kInfoDescription, 0}};
+
+constexpr Field kSamplesFields[] = {
+    {Source::kExchange, 4}, {Source::kSelectorAlgorithm, 2}, {Source::kObserved, 8}, {Source::kSelected, 8}};
+
+constexpr Template kTemplates[] = {{kCallTemplate, 0, kCallFields},         {kAttemptTemplate, 0, kAttemptFields},
+                                   {kIntervalTemplate, 0, kIntervalFields}, {kGroupTemplate, 0, kGroupFields},
+                                   {kCountsTemplate, 1, kCountsFields},     {kTypesTemplate, 2, kTypesFields},
+                                   {kSamplesTemplate, 1, kSamplesFields}};
+
+constexpr auto kElementBySource = [] {
   std::array<const Element*, 64> table{};
-  for (const Entry& entry : kEntries) table[static_cast<std::size_t>(entry.source)] = &entry.element;
+  for (const ElementEntry& entry : kElements) table[static_cast<std::size_t>(entry.source)] = &entry.element;
   return table;
 }();
 
 }  // namespace
 
-const Element& ElementOf(Source source) { return *kBySource[static_cast<std::size_t>(source)]; }
+const Element& ElementOf(Source source) { return *kElementBySource[static_cast<std::size_t>(source)]; }
 
-bool FindElement(std::uint32_t enterprise_or_0, std::uint16_t id, std::uint32_t own_enterprise, Element* element) {
-  for (const Entry& entry : kEntries) {
-    const bool same = entry.element.own ? enterprise_or_0 == own_enterprise : enterprise_or_0 == 0;
-    if (!same || entry.element.id != id) continue;
+bool FindElement(std::uint32_t enterprise, std::uint16_t id, std::uint32_t own_enterprise, Element* element) {
+  for (const ElementEntry& entry : kElements) {
+    const bool same_space = entry.element.enterprise_specific ? enterprise == own_enterprise : enterprise == 0;
+    if (!same_space || entry.element.id != id) continue;
     *element = entry.element;
     return true;
   }
@@ -155,30 +166,30 @@
       return 2;
     case DataType::kUnsigned32:
     case DataType::kSigned32:
-    case DataType::kIpv4:
+    case DataType::kIpv4Address:
       return 4;
     case DataType::kUnsigned64:
-    case DataType::kMilliseconds:
+    case DataType::kDateTimeMilliseconds:
       return 8;
-    case DataType::kOctets:
+    case DataType::kOctetArray:
     case DataType::kString:
     case DataType::kBasicList:
       break;
   }
-  return kVariable;
+  return kVariableLength;
 }
 
 std::span<const Template> Templates() { return kTemplates; }
 
-std::span<const Element> OwnElements() {
-  static const auto own = [] {
+std::span<const Element> EnterpriseElements() {
+  static const auto elements = [] {
     std::vector<Element> list;
-    for (const Entry& entry : kEntries) {
-      if (entry.element.own) list.push_back(entry.element);
+    for (const ElementEntry& entry : kElements) {
+      if (entry.element.enterprise_specific) list.push_back(entry.element);
     }
     return list;
   }();
-  return own;
+  return elements;
 }
 
 }  // namespace croftrun::flow
--- a/src/flow/elements.h
+++ b/src/flow/elements.h
@@ -1,4 +1,5 @@
-// Information elements and templates of our records: standard ones wherever IANA has one, ours beside them.
+// Information elements and templates of the exported records. Elements of the IANA registry are used where there is a
+// suitable one, enterprise-specific elements otherwise.
 //
 // Sources: IANA "IP Flow Information Export (IPFIX) Entities"; RFC 7011 (types, encodings), RFC 5610 (type information
 // of enterprise elements), RFC 6313 (basicList), RFC 3954 (NetFlow v9).
@@ -11,9 +12,9 @@
 
 namespace croftrun::flow {
 
-// Abstract data types by their codes of RFC 5610 3.1.
+// Abstract data types with their codes (RFC 5610 3.1).
 enum class DataType : std::uint8_t {
-  kOctets = 0,
+  kOctetArray = 0,
   kUnsigned8 = 1,
   kUnsigned16 = 2,
   kUnsigned32 = 3,
@@ -21,11 +22,11 @@
   kSigned32 = 7,
   kBoolean = 11,
   kString = 13,
-  kMilliseconds = 15,
-  kIpv4 = 18,
+  kDateTimeMilliseconds = 15,
+  kIpv4Address = 18,
   kBasicList = 20
 };
-// RFC 5610 3.2.
+// Data type semantics with their codes (RFC 5610 3.2).
 enum class Semantics : std::uint8_t {
   kDefault = 0,
   kQuantity = 1,
@@ -35,13 +36,15 @@
   kFlags = 5
 };
 
-// For documents and tests until a number is registered (RFC 5612); the settings can name another.
+// Private enterprise number for documentation and tests (RFC 5612), used until a number is registered. The settings can
+// name another.
 inline constexpr std::uint32_t kDocumentationEnterprise = 32473;
-// NetFlow v9 has no enterprise elements: ours stand from here on, in the part that vendors use.
-inline constexpr std::uint16_t kV9Own = 40'000;
-inline constexpr std::uint16_t kVariable = 65'535;
+// NetFlow v9 has no enterprise-specific elements. Ours are numbered from here on, in the range that vendors use.
+inline constexpr std::uint16_t kV9EnterpriseBase = 40'000;
+// Field length that marks a variable-length element (RFC 7011 7).
+inline constexpr std::uint16_t kVariableLength = 65'535;
 
-// Where the value of a field is taken from.
+// Identifies the value of a field: what the encoder writes and what a DecodedRecord is searched for.
 enum class Source : std::uint8_t {
   kCall,
   kStart,
@@ -57,24 +60,24 @@
   kCalling,
   kClass,
   kCustomer,
-  kAnswer,
+  kFinalAnswer,
   kOutcome,
   kCause,
-  kSetUp,
+  kSetUpDelay,
   kAttempts,
   kAttemptNumber,
-  kTandem,
+  kViaTandem,
   kInTransit,
   kWidth,
   kPriority,
-  kRules,
-  kTried,
-  kSent,
-  kStood,
-  kTurnedBack,
-  kLost,
+  kRulesVersion,
+  kAttemptedExchanges,
+  kAttemptsSent,
+  kAttemptsEstablished,
+  kAttemptsRejected,
+  kAttemptsLost,
   kReplay,
-  kSelector,
+  kSelectorAlgorithm,
   kObserved,
   kSelected,
   kExportedRecords,
@@ -91,34 +94,40 @@
   kInfoDescription
 };
 
+// An information element as the IANA registry or RFC 5610 describes it.
 struct Element {
   std::uint16_t id = 0;
-  bool own = false;  // of our enterprise
+  bool enterprise_specific = false;  // in the number space of our private enterprise number
   DataType type = DataType::kUnsigned32;
   Semantics semantics = Semantics::kDefault;
   std::string_view name, description;
 };
 
+// A field of a template.
 struct Field {
   Source source;
-  std::uint16_t v9_length;  // of texts: fixed there, filled up with zeros; 0: not in v9
+  std::uint16_t v9_length;  // in octets; texts are padded with zeros to it; 0: the field is left out of v9
 };
 
+// A template record, or an options template record.
 struct Template {
   std::uint16_t id = 0;
-  std::size_t scopes = 0;  // above 0: an options template
+  std::size_t scope_count = 0;  // number of scope fields; above 0 for an options template
   std::span<const Field> fields;
 };
 
+// The information element of a field.
 const Element& ElementOf(Source source);
-// The source whose element this is; false if it is none of ours.
-bool FindElement(std::uint32_t enterprise_or_0, std::uint16_t id, std::uint32_t own_enterprise, Element* element);
-// Octets of a fixed-length value; kVariable of a text or list.
+// Finds an element by enterprise number (0 for IANA elements) and number. Returns false if it is not one that we
+// export.
+bool FindElement(std::uint32_t enterprise, std::uint16_t id, std::uint32_t own_enterprise, Element* element);
+// Length in octets of a fixed-length value; kVariableLength for texts, octet arrays and lists.
 std::uint16_t LengthOf(DataType type);
 
+// All templates, in the order of their IDs.
 std::span<const Template> Templates();
-std::span<const Element> OwnElements();
-// Numbers of the templates.
+std::span<const Element> EnterpriseElements();
+// Template IDs.
 enum TemplateId : std::uint16_t {
   kCallTemplate = 256,
   kAttemptTemplate = 257,
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -28,18 +28,19 @@
 using boost::system::error_code;
 using Clock = std::chrono::steady_clock;
 
-// Records taken from the ring before the collectors get their turn.
-constexpr std::size_t kMostAtOnce = 4096;
-// Groups that sums are kept of: the exchanges of the largest plan.
-constexpr std::size_t kMostGroups = 4096;
-constexpr int kOutcomes = 8;
-// A collector's coroutine looks by itself as often, were it not woken.
-constexpr std::uint64_t kIdleUs = 1'000'000;
-constexpr int kLastWords = 20;  // milliseconds
-constexpr std::uint64_t kCloseUs = 500'000;
-// Messages that are kept until a connection has proven itself.
-constexpr std::size_t kMostUnproven = 4096;
-constexpr int kSendBuffer = 256 * 1024;
+// Records taken from the ring per poll, so that the collectors get their turn in between.
+constexpr std::size_t kMaxRecordsPerPoll = 4096;
+// Trunk groups that sums are kept for; covers the exchanges of the largest plan.
+constexpr std::size_t kMaxGroups = 4096;
+constexpr int kOutcomeCount = 8;  // values of Outcome
+// How often an idle collector's coroutine checks for work without being woken.
+constexpr std::uint64_t kIdleIntervalUs = 1'000'000;
+// How long to wait for the collector's last data, such as a TLS alert, after a write failed.
+constexpr int kFinalReadTimeoutMs = 20;
+constexpr std::uint64_t kCloseTimeoutUs = 500'000;
+// Messages kept in memory at most while a connection is not yet confirmed.
+constexpr std::size_t kMaxUnconfirmedMessages = 4096;
+constexpr int kSendBufferOctets = 256 * 1024;
 
 std::uint64_t NowUs() {
   return static_cast<std::uint64_t>(
@@ -50,245 +51,257 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch())
           .count());
 }
-Clock::time_point At(std::uint64_t us) { return Clock::time_point(std::chrono::microseconds(us)); }
+Clock::time_point TimePoint(std::uint64_t us) { return Clock::time_point(std::chrono::microseconds(us)); }
 
 std::string NameOf(const CollectorSettings& settings) {
   constexpr std::array<const char*, 3> kNames = {"udp ", "tcp ", "tls "};
   return kNames[static_cast<std::size_t>(settings.transport)] + core::ToString(settings.address);
 }
 
-// One TCP connection, with TLS on top or not. Held by the coroutine that sends and by the one that reads.
+// A TCP connection, with or without TLS. Shared by the sending and the reading coroutine.
 struct Connection {
   explicit Connection(asio::io_context& context) : socket(context) {}
   tcp::socket socket;
-  std::shared_ptr<asio::ssl::context> keys;
+  std::shared_ptr<asio::ssl::context> tls_context;
   std::optional<asio::ssl::stream<tcp::socket&>> tls;
-  std::optional<std::int64_t> ends;  // the collector's certificate, Unix seconds
+  std::optional<std::int64_t> certificate_expiry;  // expiry of the collector's certificate, Unix seconds
   bool reading = false, broken = false;
-  bool refused = false;  // the other side ended TLS with a fatal alert
-  std::string why;
+  bool fatal_alert = false;  // the collector ended the TLS session with a fatal alert
+  std::string error_text;    // why reading ended, unless the collector closed the connection
 };
 
-// Where a TLS session keeps its Connection, for NoteAlert.
+// Index of the Connection in the extra data of its TLS session, for RecordFatalAlert.
 int ConnectionIndex() {
   static const int index = SSL_get_ex_new_index(0, nullptr, nullptr, nullptr, nullptr);
   return index;
 }
 
-// OpenSSL takes a fatal alert for an end of the other side, so that a shutdown that meets one succeeds.
-void NoteAlert(const SSL* session, int where, int alert) {
+// OpenSSL treats a fatal alert as the end of the peer's data, so a shutdown that receives one succeeds. This info
+// callback records the alert, so that such a shutdown does not count as proof that the collector read everything.
+void RecordFatalAlert(const SSL* session, int where, int alert) {
   const bool fatal = (alert >> 8) == SSL3_AL_FATAL;
   if (where != SSL_CB_READ_ALERT || !fatal) return;
-  static_cast<Connection*>(SSL_get_ex_data(session, ConnectionIndex()))->refused = true;
+  static_cast<Connection*>(SSL_get_ex_data(session, ConnectionIndex()))->fatal_alert = true;
 }
 
-// One collector: its queue, its connection, its spool, its counts. Runs on the worker's thread.
-class Collector {
+// The export to one collector: its queue, connection, spool and counters. Runs on the worker's thread.
+class CollectorSession {
  public:
-  Collector(asio::io_context& context, const ExporterSettings& all, const CollectorSettings& settings, const Ring& ring,
-            core::Disk* disk, const Exporter::OnEvent& on_event, std::uint64_t seed)
+  CollectorSession(asio::io_context& context, const ExporterSettings& exporter_settings,
+                   const CollectorSettings& settings, const Ring& ring, core::Disk* disk,
+                   const Exporter::OnEvent& on_event, std::uint64_t seed)
       : context_(context),
-        all_(all),
+        exporter_settings_(exporter_settings),
         settings_(settings),
         ring_(ring),
         on_event_(on_event),
         backlog_(settings.queue),
-        link_(settings.link, seed),
+        connection_state_(settings.link, seed),
         catch_up_(settings.catch_up),
-        keys_(settings.tls),
+        tls_keys_(settings.tls),
         udp_(context),
-        wake_(context),
-        began_(NowUs()),
-        down_since_(began_),
-        encoder_(EncoderSettings{settings.protocol, all.exchange, all.enterprise, settings.most_octets, all.classes}) {
+        wake_timer_(context),
+        started_at_(NowUs()),
+        down_since_(started_at_),
+        encoder_(EncoderSettings{settings.protocol, exporter_settings.exchange, exporter_settings.enterprise,
+                                 settings.most_octets, exporter_settings.classes}) {
     if (!settings.spool) return;
     spool_.emplace(*settings.spool, disk);
-    if (const std::error_code error = spool_->Open()) Tell("spool " + settings.spool->folder + ": " + error.message());
+    if (const std::error_code error = spool_->Open())
+      ReportEvent("spool " + settings.spool->folder + ": " + error.message());
   }
 
   void Push(const FlowRecord& record) {
     ++taken_;
-    // The disk takes what the queue cannot hold before any of it is dropped.
-    if (spool_ && backlog_.size() >= backlog_.most() - backlog_.most() / 4) SpillDue(NowUs());
+    // A queue that fills up is written to disk before any record is dropped.
+    if (spool_ && backlog_.size() >= backlog_.max_records() - backlog_.max_records() / 4) SpillIfDue(NowUs());
     backlog_.Push(record);
   }
-  // There is something to do.
-  void Wake() { wake_.cancel(); }
+  // Wakes the coroutine because there is work to do.
+  void Wake() { wake_timer_.cancel(); }
+  // Starts the shutdown: the coroutine ends once the backlog is sent, or spooled if the collector is away.
   void Stop() {
     stopping_ = true;
     Wake();
   }
-  // What is left is not sent any more.
+  // Stops at once; what is left is not sent.
   void Abandon() {
     error_code ignored;
     abandoned_ = true;
     udp_.close(ignored);
     if (connection_ != nullptr) connection_->socket.close(ignored);
-    wake_.cancel();
+    wake_timer_.cancel();
   }
   bool done() const { return done_; }
 
-  // At short intervals: what the clock, the connection and the disk ask for.
+  // Called at short intervals: handles acknowledgements, time-outs, certificates and the spool.
   void Tick(std::uint64_t now) {
-    if (connection_ != nullptr && link_.phase() == LinkState::Phase::kUp) LookAtQueue(now);
-    if (connection_ != nullptr && !connection_->broken && link_.Overdue(now)) {
+    if (connection_ != nullptr && connection_state_.phase() == ConnectionState::Phase::kUp) UpdateAcknowledged(now);
+    if (connection_ != nullptr && !connection_->broken && connection_state_.CheckTimeout(now)) {
       error_code ignored;
-      why_ = link_.phase() == LinkState::Phase::kUp ? "takes nothing any more" : "does not answer";
+      error_text_ = connection_state_.phase() == ConnectionState::Phase::kUp ? "collector acknowledges no data"
+                                                                             : "connection attempt timed out";
       connection_->broken = true;
       connection_->socket.close(ignored);
       Wake();
     }
-    if (settings_.transport == Transport::kTls && now >= keys_at_) LookAtKeys(now);
+    if (settings_.transport == Transport::kTls && now >= next_certificate_check_) CheckCertificates(now);
     if (!spool_) return;
-    SpillDue(now);
-    spool_->Tick(now);
+    SpillIfDue(now);
+    spool_->SyncIfDue(now);
   }
 
   asio::awaitable<void> Run() {
     while (!abandoned_) {
-      const bool up = link_.phase() == LinkState::Phase::kUp;
-      if (stopping_ && !up && spool_) break;  // what waits goes to disk
+      const bool up = connection_state_.phase() == ConnectionState::Phase::kUp;
+      if (stopping_ && !up && spool_) break;  // waiting records go to disk
       if (stopping_ && backlog_.size() == 0 && !counts_due_) break;
       if (!up) {
         co_await Connect();
         continue;
       }
       if (connection_ != nullptr && connection_->broken) {
-        if (why_.empty()) why_ = connection_->why;
-        Down();
+        if (error_text_.empty()) error_text_ = connection_->error_text;
+        HandleDisconnect();
         continue;
       }
-      if (renew_) {
-        co_await Renew();
+      if (replacement_due_) {
+        co_await ReplaceConnection();
         continue;
       }
-      const bool said = co_await SendNext();
-      if (!said) {
-        const bool soon = spool_ && spool_->size() > 0;
+      const bool sent = co_await SendNextMessage();
+      if (!sent) {
+        const bool spool_waiting = spool_ && spool_->size() > 0;
         const std::uint64_t now = NowUs();
-        co_await Wait(soon ? std::max(now + 1000, catch_up_.NextAt(now)) : now + kIdleUs);
+        co_await Wait(spool_waiting ? std::max(now + 1000, catch_up_.NextSpoolSendAt(now)) : now + kIdleIntervalUs);
       }
     }
-    if (!abandoned_ && connection_ != nullptr && link_.phase() == LinkState::Phase::kUp) co_await Close();
-    End();
+    if (!abandoned_ && connection_ != nullptr && connection_state_.phase() == ConnectionState::Phase::kUp)
+      co_await CloseConnection();
+    SpoolRemaining();
     done_ = true;
   }
 
-  CollectorFigures Figures() const {
-    const auto& link = link_.counters();
-    CollectorFigures f{NameOf(settings_),
-                       link_.phase() == LinkState::Phase::kUp,
-                       taken_,
-                       sent_,
-                       backlog_.dropped(),
-                       failed_,
-                       backlog_.size(),
-                       messages_,
-                       link.connects,
-                       link.failures,
-                       link.stalls,
-                       unsure_,
-                       0,
-                       0,
-                       0,
-                       0,
-                       0,
-                       0,
-                       last_error_,
-                       {}};
-    if (!spool_) return f;
+  CollectorMetrics Metrics() const {
+    const auto& connection = connection_state_.counters();
+    CollectorMetrics metrics{NameOf(settings_),
+                             connection_state_.phase() == ConnectionState::Phase::kUp,
+                             taken_,
+                             sent_,
+                             backlog_.dropped(),
+                             send_failed_,
+                             backlog_.size(),
+                             messages_,
+                             connection.connects,
+                             connection.failures,
+                             connection.stalls,
+                             resent_,
+                             0,
+                             0,
+                             0,
+                             0,
+                             0,
+                             0,
+                             last_error_,
+                             {}};
+    if (!spool_) return metrics;
     const Spool::Counters& spool = spool_->counters();
-    f.spooled = spool_->size();
-    f.spool_octets = spool_->octets();
-    f.recovered = spool.recovered;
-    f.spool_full = spool.full;
-    f.spool_damaged = spool.damaged;
-    f.spool_errors = spool.errors;
-    if (spool_->last_error()) f.spool_error = spool_->last_error().message();
-    return f;
-  }
-  void CountsAreDue(const SampleCounts& samples) {
+    metrics.spooled = spool_->size();
+    metrics.spool_octets = spool_->octets();
+    metrics.recovered = spool.recovered;
+    metrics.spool_full = spool.dropped_full;
+    metrics.spool_damaged = spool.damaged;
+    metrics.spool_errors = spool.errors;
+    if (spool_->last_error()) metrics.spool_error = spool_->last_error().message();
+    return metrics;
+  }
+  void ScheduleCounts(const SampleCounts& samples) {
     counts_due_ = true;
-    samples_ = samples;
+    sample_counts_ = samples;
   }
 
  private:
   asio::awaitable<void> Wait(std::uint64_t until) {
     error_code ignored;
-    wake_.expires_at(At(until));
-    co_await wake_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    wake_timer_.expires_at(TimePoint(until));
+    co_await wake_timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 
-  void Tell(const std::string& what) {
+  void ReportEvent(const std::string& what) {
     if (on_event_) on_event_(NameOf(settings_), what);
   }
 
-  // Octets that the other machine has not acknowledged, asked of the kernel.
-  std::size_t Queued() const {
-    int queued = 0;
-    if (::ioctl(connection_->socket.native_handle(), SIOCOUTQ, &queued) != 0) return queued_;
-    return static_cast<std::size_t>(std::max(0, queued));
+  // Octets that the collector's host has not acknowledged, according to the kernel.
+  std::size_t UnacknowledgedOctets() const {
+    int send_queue_octets = 0;
+    if (::ioctl(connection_->socket.native_handle(), SIOCOUTQ, &send_queue_octets) != 0) return send_queue_octets_;
+    return static_cast<std::size_t>(std::max(0, send_queue_octets));
   }
 
-  void LookAtQueue(std::uint64_t now) {
-    if (in_flight_.messages() == 0 && queued_ == 0) return;
-    const std::size_t queued = Queued();
-    if (queued < queued_) link_.OnProgress(now);
-    if (queued == 0 && !writing_) link_.OnWriteDone(now);
-    queued_ = queued;
-    if (link_.Proven(now) || in_flight_.messages() > kMostUnproven) in_flight_.Unacknowledged(queued);
+  void UpdateAcknowledged(std::uint64_t now) {
+    if (in_flight_.messages() == 0 && send_queue_octets_ == 0) return;
+    const std::size_t send_queue_octets = UnacknowledgedOctets();
+    if (send_queue_octets < send_queue_octets_) connection_state_.OnAcknowledged(now);
+    if (send_queue_octets == 0 && !writing_) connection_state_.OnAllAcknowledged(now);
+    send_queue_octets_ = send_queue_octets;
+    if (connection_state_.IsConfirmed(now) || in_flight_.messages() > kMaxUnconfirmedMessages)
+      in_flight_.SetUnacknowledged(send_queue_octets);
   }
 
-  // Certificates end, and are replaced, while a connection stands: it is made anew then, and checked anew.
-  void LookAtKeys(std::uint64_t now) {
-    keys_at_ = now + all_.keys_us;
-    if (link_.phase() != LinkState::Phase::kUp || connection_ == nullptr || renew_) return;
+  // Checks whether a certificate expired or a file was replaced while connected. If so, the connection is replaced and
+  // both certificates are verified again. Changed files that cannot be loaded are ignored until the certificates in use
+  // expire.
+  void CheckCertificates(std::uint64_t now) {
+    next_certificate_check_ = now + exporter_settings_.certificate_check_interval_us;
+    if (connection_state_.phase() != ConnectionState::Phase::kUp || connection_ == nullptr || replacement_due_) return;
     const auto wall = static_cast<std::int64_t>(WallMs() / 1000);
-    const bool ended = (connection_->ends && wall >= *connection_->ends) || (keys_.ends() && wall >= *keys_.ends());
-    if (!ended && !keys_.Changed()) return;
+    const bool expired = (connection_->certificate_expiry && wall >= *connection_->certificate_expiry) ||
+                         (tls_keys_.certificate_expiry() && wall >= *tls_keys_.certificate_expiry());
+    if (!expired && !tls_keys_.HasChanged()) return;
     std::string error;
-    if (keys_.Changed() && !keys_.Load(&error)) {
-      Tell("keys kept: " + error);
-      if (!ended) return;
+    if (tls_keys_.HasChanged() && !tls_keys_.Load(&error)) {
+      ReportEvent("changed certificate files not loaded, previous ones stay in use: " + error);
+      if (!expired) return;
     }
-    renew_ = true;
+    replacement_due_ = true;
     Wake();
   }
 
-  asio::awaitable<void> Renew() {
-    renew_ = false;
-    co_await Close();
-    Forget();
-    link_.OnRenewed(NowUs());
+  asio::awaitable<void> ReplaceConnection() {
+    replacement_due_ = false;
+    co_await CloseConnection();
+    DropConnection();
+    connection_state_.OnReplaced(NowUs());
     down_since_ = NowUs();
   }
 
-  // In order: what was said arrives first. A collector that ends its side in return has read it all.
-  asio::awaitable<void> Close() {
+  // Closes the connection gracefully: data sent before still arrives. A collector that closes its side in return has
+  // read everything.
+  asio::awaitable<void> CloseConnection() {
     const std::shared_ptr<Connection> connection = connection_;
     error_code ignored;
-    const std::uint64_t until = NowUs() + kCloseUs;
+    const std::uint64_t until = NowUs() + kCloseTimeoutUs;
     if (connection->tls) {
-      // One operation at a time reads from it.
+      // Only one operation may read from the stream at a time, so the reading coroutine has to end first.
       connection->socket.cancel(ignored);
       while (connection->reading && !abandoned_) co_await Wait(NowUs() + 1000);
       if (connection->broken) co_return;
-      // The other side may never answer: Tick closes the socket then.
+      // The collector may never answer; Tick then closes the socket after the time-out.
       error_code error;
-      link_.OnWriteBegun(NowUs());
+      connection_state_.OnWriteStarted(NowUs());
       co_await connection->tls->async_shutdown(asio::redirect_error(asio::use_awaitable, error));
       const bool ended_in_return = !error || error == asio::error::eof || error == asio::ssl::error::stream_truncated;
-      if (ended_in_return && !connection->refused) in_flight_.Clear();
+      if (ended_in_return && !connection->fatal_alert) in_flight_.Clear();
     } else {
       connection->socket.shutdown(tcp::socket::shutdown_send, ignored);
       while (!connection->broken && !abandoned_ && NowUs() < until) co_await Wait(NowUs() + 1000);
-      if (connection->broken && connection->why.empty()) in_flight_.Clear();
-      if (!connection->broken) in_flight_.Unacknowledged(Queued());
+      if (connection->broken && connection->error_text.empty()) in_flight_.Clear();
+      if (!connection->broken) in_flight_.SetUnacknowledged(UnacknowledgedOctets());
     }
   }
 
-  // The collector says nothing (RFC 7011 10.4): what is read is the end of the connection.
-  static asio::awaitable<void> Read(std::shared_ptr<Connection> connection, asio::steady_timer& wake) {
+  // Reads until the connection ends. A collector sends no data of its own (RFC 7011 10.4), so all data is discarded.
+  static asio::awaitable<void> ReadUntilClosed(std::shared_ptr<Connection> connection, asio::steady_timer& wake_timer) {
     std::array<char, 512> buffer;
     error_code error;
     connection->reading = true;
@@ -301,25 +314,26 @@
       }
     }
     connection->reading = false;
-    if (error == asio::error::operation_aborted) co_return;  // by this side; nothing more may be touched
-    if (error != asio::error::eof) connection->why = error.message();
+    if (error == asio::error::operation_aborted) co_return;  // closed by this side, whose objects may be gone
+    if (error != asio::error::eof) connection->error_text = error.message();
     connection->broken = true;
-    wake.cancel();
+    wake_timer.cancel();
   }
 
   asio::awaitable<void> Connect() {
-    while (!abandoned_ && !(stopping_ && spool_) && NowUs() < link_.connect_at()) co_await Wait(link_.connect_at());
+    while (!abandoned_ && !(stopping_ && spool_) && NowUs() < connection_state_.connect_at())
+      co_await Wait(connection_state_.connect_at());
     if (abandoned_ || (stopping_ && spool_)) co_return;
-    link_.OnConnecting(NowUs());
+    connection_state_.OnConnecting(NowUs());
     error_code error;
-    why_.clear();
+    error_text_.clear();
     const asio::ip::address address = asio::ip::address_v4(settings_.address.host);
     if (settings_.transport == Transport::kUdp) {
       error_code ignored;
       udp_.close(ignored);
       udp_.open(udp::v4(), error);
       if (!error) udp_.connect({address, settings_.address.port}, error);
-      last_.clear();
+      last_datagram_records_.clear();
     } else {
       const tcp::endpoint endpoint(address, settings_.address.port);
       connection_ = std::make_shared<Connection>(context_);
@@ -328,67 +342,68 @@
     }
     if (abandoned_) co_return;
     if (error) {
-      if (why_.empty()) why_ = error.message();
-      Down();
+      if (error_text_.empty()) error_text_ = error.message();
+      HandleDisconnect();
       co_return;
     }
     if (connection_ != nullptr) {
-      // What the kernel holds is what a break leaves unsure: not much.
+      // A small send buffer limits how many records are in doubt when the connection breaks.
       error_code ignored;
-      connection_->socket.set_option(asio::socket_base::send_buffer_size(kSendBuffer), ignored);
+      connection_->socket.set_option(asio::socket_base::send_buffer_size(kSendBufferOctets), ignored);
       connection_->socket.set_option(tcp::no_delay(true), ignored);
-      // Owned by the context; it ends with its connection.
-      asio::co_spawn(context_, Read(connection_, wake_), asio::detached);
+      // Owned by the context; ends when the connection is closed.
+      asio::co_spawn(context_, ReadUntilClosed(connection_, wake_timer_), asio::detached);
     }
-    link_.OnUp(NowUs());
-    queued_ = 0;
+    connection_state_.OnConnected(NowUs());
+    send_queue_octets_ = 0;
     if (on_event_) on_event_(NameOf(settings_), "reached");
-    // Each connection is told everything anew (RFC 7011 8: templates are of their transport session).
-    if (settings_.transport != Transport::kUdp) encoder_.SetSequence(0);
-    templates_at_ = 0;
+    // Templates and sequence numbers start anew with each transport session (RFC 7011 8).
+    if (settings_.transport != Transport::kUdp) encoder_.SetSequenceNumber(0);
+    templates_sent_at_ = 0;
   }
 
   asio::awaitable<void> Handshake(error_code* error) {
     std::string fault;
-    if (keys_.Changed() && !keys_.Load(&fault)) why_ = fault;
-    const auto ends = keys_.ends();
-    if (why_.empty() && ends && static_cast<std::int64_t>(WallMs() / 1000) >= *ends)
-      why_ = "certificate " + settings_.tls.certificate + ": has expired";
-    if (keys_.context() == nullptr || !why_.empty()) {
+    if (tls_keys_.HasChanged() && !tls_keys_.Load(&fault)) error_text_ = fault;
+    const auto certificate_expiry = tls_keys_.certificate_expiry();
+    if (error_text_.empty() && certificate_expiry && static_cast<std::int64_t>(WallMs() / 1000) >= *certificate_expiry)
+      error_text_ = "certificate " + settings_.tls.certificate + ": has expired";
+    if (tls_keys_.context() == nullptr || !error_text_.empty()) {
       *error = asio::error::no_permission;
       co_return;
     }
     const std::shared_ptr<Connection> connection = connection_;
-    connection->keys = keys_.context();
-    connection->tls.emplace(connection->socket, *connection->keys);
+    connection->tls_context = tls_keys_.context();
+    connection->tls.emplace(connection->socket, *connection->tls_context);
     SSL* native = connection->tls->native_handle();
     SSL_set_ex_data(native, ConnectionIndex(), connection.get());
-    SSL_set_info_callback(native, NoteAlert);
-    keys_.Expect(native, asio::ip::address_v4(settings_.address.host).to_string());
+    SSL_set_info_callback(native, RecordFatalAlert);
+    tls_keys_.SetExpectedPeer(native, asio::ip::address_v4(settings_.address.host).to_string());
     co_await connection->tls->async_handshake(asio::ssl::stream_base::client,
                                               asio::redirect_error(asio::use_awaitable, *error));
     if (*error) {
-      if (why_.empty()) why_ = TlsKeys::Why(native, *error);
+      if (error_text_.empty()) error_text_ = TlsKeys::DescribeFailure(native, *error);
     } else {
-      connection->ends = TlsKeys::EndOfPeer(native);
+      connection->certificate_expiry = TlsKeys::PeerCertificateExpiry(native);
     }
   }
 
-  // The connection is no more: what of it is unsure waits again, marked, in its order.
-  void Forget() {
+  // Drops the connection. Unacknowledged records are queued again in their order, marked as possibly repeated.
+  void DropConnection() {
     error_code ignored;
     if (connection_ != nullptr) {
-      if (connection_->socket.is_open() && link_.Proven(NowUs())) in_flight_.Unacknowledged(Queued());
+      if (connection_->socket.is_open() && connection_state_.IsConfirmed(NowUs()))
+        in_flight_.SetUnacknowledged(UnacknowledgedOctets());
       connection_->socket.close(ignored);
     }
     connection_.reset();
-    std::vector<FlowRecord> unsure = in_flight_.Take();
-    unsure_ += unsure.size();
-    sent_ -= unsure.size();
-    PutBack(std::move(unsure));
+    std::vector<FlowRecord> unacknowledged = in_flight_.TakeUnacknowledged();
+    resent_ += unacknowledged.size();
+    sent_ -= unacknowledged.size();
+    RequeueAsPossiblyRepeated(std::move(unacknowledged));
   }
 
-  void PutBack(std::vector<FlowRecord> records) {
+  void RequeueAsPossiblyRepeated(std::vector<FlowRecord> records) {
     std::array<std::vector<FlowRecord>, kRecordKinds> by_rank;
     for (FlowRecord& record : records) {
       record.replay = Replay::kPossiblyRepeated;
@@ -397,74 +412,75 @@
     for (std::size_t rank = 0; rank < kRecordKinds; ++rank) backlog_.PutBack(rank, by_rank[rank]);
   }
 
-  void Down() {
-    const bool was_up = link_.phase() == LinkState::Phase::kUp;
-    Forget();
-    link_.OnDown(NowUs());
+  void HandleDisconnect() {
+    const bool was_up = connection_state_.phase() == ConnectionState::Phase::kUp;
+    DropConnection();
+    connection_state_.OnDisconnected(NowUs());
     if (was_up) down_since_ = NowUs();
-    last_error_ =
-        (was_up ? "lost: " : "not reached: ") + (why_.empty() ? std::string("closed by the collector") : why_);
-    why_.clear();
-    Tell(last_error_);
+    last_error_ = (was_up ? "lost: " : "not reached: ") +
+                  (error_text_.empty() ? std::string("closed by the collector") : error_text_);
+    error_text_.clear();
+    ReportEvent(last_error_);
   }
 
-  void SpillDue(std::uint64_t now) {
-    const bool up = link_.phase() == LinkState::Phase::kUp;
-    Spill(catch_up_.ToDisk(up, up ? 0 : now - down_since_, backlog_.size(), backlog_.most()), now);
+  void SpillIfDue(std::uint64_t now) {
+    const bool up = connection_state_.phase() == ConnectionState::Phase::kUp;
+    SpillToDisk(catch_up_.RecordsToSpill(up, up ? 0 : now - down_since_, backlog_.size(), backlog_.max_records()), now);
   }
 
-  // The oldest of what matters least goes to disk first: what matters most is the sooner sent.
-  void Spill(std::size_t records, std::uint64_t now) {
+  // Writes records to disk, the oldest of the least important rank first, since the most important ones are sent
+  // soonest.
+  void SpillToDisk(std::size_t records, std::uint64_t now) {
     for (std::size_t rank = kRecordKinds; rank-- > 0 && records > 0;) {
-      while (records > 0 && spool_->Writable(now)) {
-        std::vector<FlowRecord> some = backlog_.Take(rank, std::min(records, Spool::kFrameRecords));
-        if (some.empty()) break;
-        if (!spool_->Write(rank, some, now)) {
-          backlog_.PutBack(rank, some);
-          Tell("spool " + settings_.spool->folder + ": " + spool_->last_error().message());
+      while (records > 0 && spool_->IsWritable(now)) {
+        std::vector<FlowRecord> batch = backlog_.TakeOldest(rank, std::min(records, Spool::kMaxFrameRecords));
+        if (batch.empty()) break;
+        if (!spool_->Write(rank, batch, now)) {
+          backlog_.PutBack(rank, batch);
+          ReportEvent("spool " + settings_.spool->folder + ": " + spool_->last_error().message());
           return;
         }
-        records -= some.size();
+        records -= batch.size();
       }
     }
   }
 
-  // The end of the run: what was not sent is kept on disk, where there is one.
-  void End() {
-    if (connection_ != nullptr) Forget();
+  // End of the coroutine: records that were not sent go to the spool, if there is one.
+  void SpoolRemaining() {
+    if (connection_ != nullptr) DropConnection();
     if (!spool_) return;
-    Spill(backlog_.size(), NowUs());
+    SpillToDisk(backlog_.size(), NowUs());
     spool_->Close();
   }
 
-  bool TemplatesDue() const {
-    if (templates_at_ == 0) return true;
-    return settings_.transport == Transport::kUdp && NowUs() - templates_at_ >= settings_.template_refresh_us;
+  bool AreTemplatesDue() const {
+    if (templates_sent_at_ == 0) return true;
+    return settings_.transport == Transport::kUdp && NowUs() - templates_sent_at_ >= settings_.template_refresh_us;
   }
 
-  // The next message, if there is anything to say. False: there is not, or it did not go.
-  asio::awaitable<bool> SendNext() {
-    if (TemplatesDue()) {
-      if (backlog_.size() == 0 && !counts_due_ && templates_at_ != 0) co_return false;
-      encoder_.Begin();
+  // Sends the next message. Returns false if there is nothing to send yet.
+  asio::awaitable<bool> SendNextMessage() {
+    if (AreTemplatesDue()) {
+      if (backlog_.size() == 0 && !counts_due_ && templates_sent_at_ != 0) co_return false;
+      encoder_.BeginMessage();
       encoder_.AddTemplates();
-      bool sent = co_await Send({});
-      for (std::size_t next = 0; sent && next < encoder_.types();) {
-        encoder_.Begin();
-        next = encoder_.AddTypes(next);
-        sent = co_await Send({});
+      bool sent = co_await SendMessage({});
+      for (std::size_t next = 0; sent && next < encoder_.element_type_count();) {
+        encoder_.BeginMessage();
+        next = encoder_.AddElementTypes(next);
+        sent = co_await SendMessage({});
       }
       if (!sent) co_return true;
-      templates_at_ = NowUs();
+      templates_sent_at_ = NowUs();
     }
     const bool live = backlog_.size() > 0 || counts_due_;
-    const CatchUp::Next next = catch_up_.Choose(live, spool_ && spool_->Front() != nullptr, NowUs());
-    if (next == CatchUp::Next::kNothing) co_return false;
-    encoder_.Begin();
+    const CatchUpScheduler::Next next = catch_up_.ChooseNext(live, spool_ && spool_->Front() != nullptr, NowUs());
+    if (next == CatchUpScheduler::Next::kNothing) co_return false;
+    encoder_.BeginMessage();
     std::vector<FlowRecord> records;
-    if (next == CatchUp::Next::kSpool) {
+    if (next == CatchUpScheduler::Next::kSpool) {
       while (const FlowRecord* record = spool_->Front()) {
-        if (!encoder_.Add(*record)) break;
+        if (!encoder_.AddRecord(*record)) break;
         records.push_back(*record);
         spool_->Pop();
       }
@@ -473,47 +489,47 @@
       if (counts_due_) AddCounts();
       counts_due_ = false;
       while (const FlowRecord* record = backlog_.Front()) {
-        if (!encoder_.Add(*record)) break;
+        if (!encoder_.AddRecord(*record)) break;
         records.push_back(*record);
         backlog_.Pop();
       }
     }
     if (encoder_.empty()) co_return false;
-    co_await Send(std::move(records));
+    co_await SendMessage(std::move(records));
     co_return true;
   }
 
   void AddCounts() {
     std::uint64_t spool_lost = 0;
-    if (spool_) spool_lost = spool_->counters().full + spool_->counters().damaged;
-    encoder_.AddCounts({sent_, ring_.dropped() + backlog_.dropped() + spool_lost + failed_, ring_.dropped(),
-                        backlog_.dropped(), spool_lost, failed_});
-    if (all_.sample > 1) encoder_.AddSamples(samples_);
+    if (spool_) spool_lost = spool_->counters().dropped_full + spool_->counters().damaged;
+    encoder_.AddCounts({sent_, ring_.dropped() + backlog_.dropped() + spool_lost + send_failed_, ring_.dropped(),
+                        backlog_.dropped(), spool_lost, send_failed_});
+    if (exporter_settings_.sample > 1) encoder_.AddSamples(sample_counts_);
   }
 
-  asio::awaitable<bool> Send(std::vector<FlowRecord> records) {
-    const std::string& message = encoder_.Finish(static_cast<std::uint32_t>(WallMs() / 1000),
-                                                 static_cast<std::uint32_t>((NowUs() - began_) / 1000));
+  asio::awaitable<bool> SendMessage(std::vector<FlowRecord> records) {
+    const std::string& message = encoder_.FinishMessage(static_cast<std::uint32_t>(WallMs() / 1000),
+                                                        static_cast<std::uint32_t>((NowUs() - started_at_) / 1000));
     const std::size_t count = records.size();
     error_code error;
     if (settings_.transport == Transport::kUdp) {
       udp_.send(asio::buffer(message), 0, error);
       if (error) {
-        // What is reported now is that the message before was refused; this one did not go at all.
-        sent_ -= last_.size();
-        last_.insert(last_.end(), records.begin(), records.end());
-        unsure_ += last_.size();
-        PutBack(std::move(last_));
-        last_.clear();
-        why_ = error.message();
-        Down();
+        // The kernel reports here that the previous datagram was refused (ICMP); this one was not sent at all.
+        sent_ -= last_datagram_records_.size();
+        last_datagram_records_.insert(last_datagram_records_.end(), records.begin(), records.end());
+        resent_ += last_datagram_records_.size();
+        RequeueAsPossiblyRepeated(std::move(last_datagram_records_));
+        last_datagram_records_.clear();
+        error_text_ = error.message();
+        HandleDisconnect();
         co_return false;
       }
-      last_ = std::move(records);
+      last_datagram_records_ = std::move(records);
     } else {
       const std::shared_ptr<Connection> connection = connection_;
       std::size_t at = 0;
-      link_.OnWriteBegun(NowUs());
+      connection_state_.OnWriteStarted(NowUs());
       writing_ = true;
       while (at < message.size() && !error) {
         const auto rest = asio::buffer(message.data() + at, message.size() - at);
@@ -527,17 +543,19 @@
       }
       writing_ = false;
       sent_ += count;
-      in_flight_.Sent(message.size(), std::move(records));
+      in_flight_.AddSent(message.size(), std::move(records));
       if (error) {
-        if (abandoned_) co_return false;  // by this side
-        // Of this message, too, a part may have gone; none of it is acknowledged for certain. What the collector said
-        // last may still be read: why it closed.
-        for (int i = 0; i < kLastWords && connection->reading && !abandoned_; ++i) co_await Wait(NowUs() + 1000);
-        if (why_.empty()) why_ = connection->why.empty() ? error.message() : connection->why;
-        Down();
+        if (abandoned_) co_return false;  // closed by this side
+        // A part of this message may have been sent, but none of it is certain to be acknowledged. The collector's last
+        // data, which may say why it closed the connection, can still be read.
+        for (int i = 0; i < kFinalReadTimeoutMs && connection->reading && !abandoned_; ++i)
+          co_await Wait(NowUs() + 1000);
+        if (error_text_.empty())
+          error_text_ = connection->error_text.empty() ? error.message() : connection->error_text;
+        HandleDisconnect();
         co_return false;
       }
-      LookAtQueue(NowUs());
+      UpdateAcknowledged(NowUs());
       ++messages_;
       co_return true;
     }
@@ -547,56 +565,59 @@
   }
 
   asio::io_context& context_;
-  const ExporterSettings& all_;
+  const ExporterSettings& exporter_settings_;
   const CollectorSettings& settings_;
   const Ring& ring_;
   const Exporter::OnEvent& on_event_;
   Backlog backlog_;
-  LinkState link_;
-  CatchUp catch_up_;
+  ConnectionState connection_state_;
+  CatchUpScheduler catch_up_;
   InFlight in_flight_;
   std::optional<Spool> spool_;
-  TlsKeys keys_;
+  TlsKeys tls_keys_;
   udp::socket udp_;
-  std::shared_ptr<Connection> connection_;  // over TCP and TLS, while there is one
-  asio::steady_timer wake_;
-  std::uint64_t began_, down_since_;
+  std::shared_ptr<Connection> connection_;  // over TCP and TLS, while connected or connecting
+  asio::steady_timer wake_timer_;
+  std::uint64_t started_at_, down_since_;
   Encoder encoder_;
-  SampleCounts samples_;
-  std::uint64_t templates_at_ = 0, keys_at_ = 0, taken_ = 0, sent_ = 0, failed_ = 0, unsure_ = 0, messages_ = 0;
-  std::size_t queued_ = 0;        // octets that the kernel held when last asked
-  std::vector<FlowRecord> last_;  // over UDP, of the last message
-  std::string why_, last_error_;
-  bool stopping_ = false, abandoned_ = false, done_ = false, counts_due_ = false, renew_ = false, writing_ = false;
+  SampleCounts sample_counts_;
+  std::uint64_t templates_sent_at_ = 0, next_certificate_check_ = 0, taken_ = 0, sent_ = 0, send_failed_ = 0,
+                resent_ = 0, messages_ = 0;
+  std::size_t send_queue_octets_ = 0;              // send queue of the kernel when last read
+  std::vector<FlowRecord> last_datagram_records_;  // over UDP, records of the previous datagram
+  std::string error_text_, last_error_;
+  bool stopping_ = false, abandoned_ = false, done_ = false, counts_due_ = false, replacement_due_ = false,
+       writing_ = false;
 };
 
 }  // namespace
 
+// The exporter's thread: empties the ring, sums attempts by trunk group and runs the session of each collector.
 class Exporter::Worker {
  public:
   Worker(const ExporterSettings& settings, Ring* ring, core::Disk* disk, OnEvent on_event)
-      : settings_(settings), ring_(ring), on_event_(std::move(on_event)), poll_(context_) {
+      : settings_(settings), ring_(ring), on_event_(std::move(on_event)), poll_timer_(context_) {
     std::uint64_t seed = settings.seed;
     for (const CollectorSettings& collector : settings_.collectors)
-      collectors_.push_back(std::make_unique<Collector>(context_, settings_, collector, *ring_, disk, on_event_,
-                                                        ++seed * 0x9e3779b97f4a7c15U));
-    sums_began_ = WallMs();
+      collectors_.push_back(std::make_unique<CollectorSession>(context_, settings_, collector, *ring_, disk, on_event_,
+                                                               ++seed * 0x9e3779b97f4a7c15U));
+    sums_started_at_ = WallMs();
     sums_due_ = NowUs() + settings_.group_us;
     counts_due_ = NowUs() + settings_.counts_us;
-    Publish();
+    PublishMetrics();
   }
 
   void Run() {
-    // Owned by this context, whose end they do not outlive.
+    // Owned by this context; they do not outlive it.
     for (const auto& collector : collectors_) asio::co_spawn(context_, collector->Run(), asio::detached);
     Poll();
     context_.run();
-    Publish();
+    PublishMetrics();
   }
   void Stop() { stop_.store(true); }
-  std::vector<CollectorFigures> Figures() const {
+  std::vector<CollectorMetrics> Metrics() const {
     const std::lock_guard lock(mutex_);
-    return figures_;
+    return metrics_;
   }
 
  private:
@@ -605,17 +626,17 @@
     const bool stopping = stop_.load();
     FlowRecord record;
     std::size_t taken = 0;
-    while (taken < kMostAtOnce && ring_->Pop(&record)) {
+    while (taken < kMaxRecordsPerPoll && ring_->Pop(&record)) {
       ++taken;
-      if (record.kind == RecordKind::kAttempt) Sum(record);
-      if (!Sampled(record)) continue;
+      if (record.kind == RecordKind::kAttempt) AddToGroupSums(record);
+      if (!IsSelected(record)) continue;
       for (const auto& collector : collectors_) collector->Push(record);
     }
-    const bool last = stopping && taken < kMostAtOnce;
-    if (now >= sums_due_ || (last && !stopped_at_)) TellSums(now);
+    const bool last = stopping && taken < kMaxRecordsPerPoll;
+    if (now >= sums_due_ || (last && !stopped_at_)) QueueGroupSums(now);
     if (now >= counts_due_ || (last && !stopped_at_)) {
       counts_due_ = now + settings_.counts_us;
-      for (const auto& collector : collectors_) collector->CountsAreDue(samples_);
+      for (const auto& collector : collectors_) collector->ScheduleCounts(sample_counts_);
       taken = std::max<std::size_t>(taken, 1);
     }
     if (last && !stopped_at_) {
@@ -626,83 +647,83 @@
       for (const auto& collector : collectors_) collector->Wake();
     }
     for (const auto& collector : collectors_) collector->Tick(now);
-    if (now >= published_ + 50'000) Publish();
+    if (now >= published_at_ + 50'000) PublishMetrics();
     if (stopped_at_) {
       const bool done = std::all_of(collectors_.begin(), collectors_.end(), [](const auto& c) { return c->done(); });
       if (done) return;
-      if (now >= *stopped_at_ + settings_.stop_us) {
+      if (now >= *stopped_at_ + settings_.shutdown_timeout_us) {
         for (const auto& collector : collectors_) collector->Abandon();
         return;
       }
     }
-    poll_.expires_after(std::chrono::microseconds(taken >= kMostAtOnce ? 0 : settings_.poll_us));
-    poll_.async_wait([this](const error_code& error) {
+    poll_timer_.expires_after(std::chrono::microseconds(taken >= kMaxRecordsPerPoll ? 0 : settings_.poll_interval_us));
+    poll_timer_.async_wait([this](const error_code& error) {
       if (!error) Poll();
     });
   }
 
-  // By a hash of the call: of a call all attempts and intervals, or none (RFC 7014 5.2: hash-based). Calls are always
-  // told.
-  bool Sampled(const FlowRecord& record) {
+  // Hash-based flow selection (RFC 7014 5.2): the hash of the call selects all attempts and intervals of a call or
+  // none. Call records are always exported.
+  bool IsSelected(const FlowRecord& record) {
     if (settings_.sample <= 1 || (record.kind != RecordKind::kAttempt && record.kind != RecordKind::kInterval))
       return true;
-    ++samples_.observed;
+    ++sample_counts_.observed;
     std::uint64_t hash = (record.call + 0x9e3779b97f4a7c15U) * 0xbf58476d1ce4e5b9U;
     hash ^= hash >> 32U;
     if (hash % settings_.sample != 0) return false;
-    ++samples_.selected;
+    ++sample_counts_.selected;
     return true;
   }
 
-  void Sum(const FlowRecord& record) {
-    if (sums_.size() >= kMostGroups && sums_.count(record.destination) == 0) return;
+  void AddToGroupSums(const FlowRecord& record) {
+    if (sums_.size() >= kMaxGroups && sums_.count(record.destination) == 0) return;
     FlowRecord& sum = sums_[record.destination];
     const auto outcome = static_cast<Outcome>(record.outcome);
     ++sum.sent;
-    if (record.set_up_us > 0) {
-      ++sum.stood;
+    if (record.set_up_delay_us > 0) {
+      ++sum.established;
     } else if (outcome == Outcome::kFull) {
-      ++sum.turned_back;
-    } else if (record.outcome < kOutcomes && outcome != Outcome::kCancelled && outcome != Outcome::kOk) {
+      ++sum.rejected;
+    } else if (record.outcome < kOutcomeCount && outcome != Outcome::kCancelled && outcome != Outcome::kOk) {
       ++sum.lost;
     }
   }
 
-  void TellSums(std::uint64_t now) {
+  void QueueGroupSums(std::uint64_t now) {
     const std::uint64_t wall = WallMs();
     for (auto& [group, sum] : sums_) {
       sum.kind = RecordKind::kGroup;
       sum.exchange = settings_.exchange;
       sum.destination = group;
-      sum.start_ms = sums_began_;
+      sum.start_ms = sums_started_at_;
       sum.end_ms = wall;
       for (const auto& collector : collectors_) collector->Push(sum);
     }
     sums_.clear();
-    sums_began_ = wall;
+    sums_started_at_ = wall;
     sums_due_ = now + settings_.group_us;
   }
 
-  void Publish() {
-    published_ = NowUs();
+  void PublishMetrics() {
+    published_at_ = NowUs();
     const std::lock_guard lock(mutex_);
-    figures_.clear();
-    for (const auto& collector : collectors_) figures_.push_back(collector->Figures());
+    metrics_.clear();
+    for (const auto& collector : collectors_) metrics_.push_back(collector->Metrics());
   }
 
   ExporterSettings settings_;
   Ring* ring_;
   OnEvent on_event_;
-  SampleCounts samples_;
+  SampleCounts sample_counts_;
   asio::io_context context_{1};
-  asio::steady_timer poll_;
-  std::vector<std::unique_ptr<Collector>> collectors_;
+  asio::steady_timer poll_timer_;
+  std::vector<std::unique_ptr<CollectorSession>> collectors_;
   std::map<std::int32_t, FlowRecord> sums_;
-  std::uint64_t sums_began_ = 0, sums_due_ = 0, counts_due_ = 0, published_ = 0;
+  std::uint64_t sums_started_at_ = 0, sums_due_ = 0, counts_due_ = 0, published_at_ = 0;
   std::optional<std::uint64_t> stopped_at_;
   std::atomic<bool> stop_{false};
   mutable std::mutex mutex_;
-  std::vector<CollectorFigures> figures_;
+  std::vector<CollectorMetrics> metrics_;
 };
 
 Exporter::Exporter(const ExporterSettings& settings, Ring* ring, core::Disk* disk, OnEvent on_event)
@@ -716,6 +737,6 @@
   if (thread_.joinable()) thread_.join();
 }
 
-std::vector<CollectorFigures> Exporter::Figures() const { return worker_->Figures(); }
+std::vector<CollectorMetrics> Exporter::Figures() const { return worker_->Metrics(); }
 
 }  // namespace croftrun::flow
--- a/src/flow/exporter.h
+++ b/src/flow/exporter.h
@@ -1,10 +1,10 @@
-// The exporter: a thread of its own that takes records from the ring and sends them to the collectors.
+// The exporting process: a thread that takes records from the ring and sends them to the collectors.
 //
-// Every record that the ring took is, for each collector, sent, still waiting, or counted as dropped with its cause:
+// For each collector, every record that the ring accepted is sent, waiting, or counted as dropped with its cause:
 //   taken + recovered = sent + queue_full + send_failed + spool_full + spool_damaged + waiting + spooled.
-// Over UDP "sent" means given to the kernel and not refused; over TCP and TLS that the other machine acknowledged it,
-// or may yet. What a broken connection left unacknowledged, and all of one that fell at once, waits again, marked as
-// possibly repeated.
+// Over UDP "sent" means accepted by the kernel without an error. Over TCP and TLS it means that the collector's host
+// acknowledged the record or still may. Records that were unacknowledged when a connection broke are queued again,
+// marked as possibly repeated; so are all records of a connection that broke before it was confirmed.
 #ifndef CROFTRUN_FLOW_EXPORTER_H_
 #define CROFTRUN_FLOW_EXPORTER_H_
 
@@ -27,62 +27,68 @@
 
 namespace croftrun::flow {
 
+// Transport protocol to a collector.
 enum class Transport : std::uint8_t { kUdp, kTcp, kTls };
 
+// Settings of the export to one collector.
 struct CollectorSettings {
   core::Address address;
   Transport transport = Transport::kUdp;
   Protocol protocol = Protocol::kIpfix;
-  std::size_t queue = 16'384;                      // records that wait for it at most
-  std::size_t most_octets = 1400;                  // of a message
-  std::uint64_t template_refresh_us = 30'000'000;  // over UDP, where one may be lost
-  LinkSettings link;
-  TlsFiles tls;                        // over TLS
-  std::optional<SpoolSettings> spool;  // without one, what the queue cannot hold is dropped
+  std::size_t queue = 16'384;                      // records waiting for the collector at most
+  std::size_t most_octets = 1400;                  // largest message
+  std::uint64_t template_refresh_us = 30'000'000;  // over UDP, where a template may be lost
+  ConnectionSettings link;
+  TlsFiles tls;                        // for Transport::kTls
+  std::optional<SpoolSettings> spool;  // without a spool, records that the queue cannot hold are dropped
   CatchUpSettings catch_up;
 };
 
+// Settings of the exporting process.
 struct ExporterSettings {
   std::uint32_t exchange = 0;
   std::uint32_t enterprise = kDocumentationEnterprise;
-  std::vector<std::string> classes;
+  std::vector<std::string> classes;  // names of the call classes, by number
   std::vector<CollectorSettings> collectors;
-  std::uint64_t poll_us = 5'000;         // how often the ring is emptied
-  std::uint64_t group_us = 10'000'000;   // sums by group
-  std::uint64_t counts_us = 10'000'000;  // the exporter's own counts
-  std::uint32_t sample = 1;              // attempts and intervals of one call in so many
-  std::uint64_t keys_us = 1'000'000;     // how often certificates are looked at
-  std::uint64_t stop_us = 2'000'000;     // at the end, for what still waits
+  std::uint64_t poll_interval_us = 5'000;  // interval of emptying the ring
+  std::uint64_t group_us = 10'000'000;     // interval of the sums by trunk group
+  std::uint64_t counts_us = 10'000'000;    // interval of the exporter's own counters
+  std::uint32_t sample = 1;                // attempts and intervals are exported for one call in this many
+  std::uint64_t certificate_check_interval_us = 1'000'000;  // interval of checking the certificates
+  std::uint64_t shutdown_timeout_us = 2'000'000;            // on shutdown, time for sending what still waits
   std::uint64_t seed = 1;
 };
 
-struct CollectorFigures {
+// State and counters of the export to one collector, as they appear in the metrics.
+struct CollectorMetrics {
   std::string name;
   bool up = false;
-  std::uint64_t taken = 0;  // records for it: calls, attempts, intervals, sums of groups
+  std::uint64_t taken = 0;  // records queued for it: calls, attempts, intervals, sums of groups
   std::uint64_t sent = 0, queue_full = 0, send_failed = 0, waiting = 0, messages = 0, connects = 0, failures = 0,
                 stalls = 0;
-  std::uint64_t unsure = 0;  // of a broken connection: they waited again, marked as possibly repeated
+  std::uint64_t unsure = 0;  // unacknowledged on a broken connection; queued again, marked as possibly repeated
   std::uint64_t spooled = 0, spool_octets = 0, recovered = 0, spool_full = 0, spool_damaged = 0, spool_errors = 0;
-  std::string last_error;   // why the connection last failed
-  std::string spool_error;  // of the disk, the last one
+  std::string last_error;   // why the connection last failed, or could not be made
+  std::string spool_error;  // last error of the disk
 };
 
+// Runs the exporting process from construction to Stop.
 class Exporter {
  public:
-  // Told what happens to a collector, on the exporter's thread: it is reached, lost, refused.
+  // Called on the exporter's thread when a collector is reached or lost, and on spool and certificate errors.
   using OnEvent = std::function<void(const std::string& collector, const std::string& what)>;
 
-  // Starts the thread. Ring and disk outlive it; without a spool in the settings no disk is needed.
+  // Starts the thread. `ring` and `disk` must outlive the exporter; `disk` may be null if no collector has a spool.
   Exporter(const ExporterSettings& settings, Ring* ring, core::Disk* disk = nullptr, OnEvent on_event = nullptr);
   ~Exporter();
   Exporter(const Exporter&) = delete;
   Exporter& operator=(const Exporter&) = delete;
 
-  // Sends what is in the ring and waits, for `stop_us` at most, then ends the thread. Harmless when repeated.
+  // Sends what is in the ring and the queues, for at most `shutdown_timeout_us`, then ends the thread. May be called
+  // again.
   void Stop();
-  // Of any thread.
-  std::vector<CollectorFigures> Figures() const;
+  // The present metrics of each collector, in the order of the settings. Safe to call from any thread.
+  std::vector<CollectorMetrics> Figures() const;
 
  private:
   class Worker;
--- a/src/flow/in_flight.h
+++ b/src/flow/in_flight.h
@@ -1,7 +1,7 @@
-// Records given to a connection that the other machine has not acknowledged: what a break of it leaves unsure. No I/O.
+// Records sent on a connection and not yet acknowledged by the collector's host. If the connection breaks, it is
+// unknown whether the collector received them. No I/O.
 //
-// IPFIX has no acknowledgement of its own (RFC 7011 8); the number of octets that TCP still holds is the next best
-// thing.
+// IPFIX has no acknowledgement of its own (RFC 7011 8), so the number of octets in the TCP send queue is used instead.
 #ifndef CROFTRUN_FLOW_IN_FLIGHT_H_
 #define CROFTRUN_FLOW_IN_FLIGHT_H_
 
@@ -15,28 +15,28 @@
 
 class InFlight {
  public:
-  // A message that went whole, with the records in it. Its octets: of the message; over TLS more go out, which only
-  // makes this more careful.
-  void Sent(std::size_t octets, std::vector<FlowRecord> records) {
+  // Adds a message that was written whole, with its records. `octets` is the length of the message. TLS sends more
+  // octets than that, so a message is then regarded as acknowledged later, never too early.
+  void AddSent(std::size_t octets, std::vector<FlowRecord> records) {
     octets_ += octets;
     messages_.push_back({octets, std::move(records)});
   }
-  // So many octets at the end of the stream are not acknowledged: what is before them is.
-  void Unacknowledged(std::size_t octets) {
+  // Sets how many octets at the end of the stream are not acknowledged. Messages that lie wholly before them are.
+  void SetUnacknowledged(std::size_t octets) {
     while (!messages_.empty() && octets_ - messages_.front().octets >= octets) {
       octets_ -= messages_.front().octets;
       messages_.pop_front();
     }
   }
-  // After a break: the records that are unsure, in order.
-  std::vector<FlowRecord> Take() {
-    std::vector<FlowRecord> unsure;
+  // Removes and returns the unacknowledged records, in order; called after the connection broke.
+  std::vector<FlowRecord> TakeUnacknowledged() {
+    std::vector<FlowRecord> unacknowledged;
     for (const Message& message : messages_)
-      unsure.insert(unsure.end(), message.records.begin(), message.records.end());
+      unacknowledged.insert(unacknowledged.end(), message.records.begin(), message.records.end());
     Clear();
-    return unsure;
+    return unacknowledged;
   }
-  // The other side has read to the end.
+  // The collector has read everything that was sent.
   void Clear() {
     messages_.clear();
     octets_ = 0;
@@ -49,7 +49,7 @@
     std::vector<FlowRecord> records;
   };
   std::deque<Message> messages_;
-  std::size_t octets_ = 0;  // of all of them
+  std::size_t octets_ = 0;  // of all messages
 };
 
 }  // namespace croftrun::flow
--- a/src/flow/link_state.cpp
+++ b/src/flow/link_state.cpp
@@ -4,58 +4,59 @@
 
 namespace croftrun::flow {
 
-void LinkState::OnConnecting(std::uint64_t now) {
+void ConnectionState::OnConnecting(std::uint64_t now) {
   phase_ = Phase::kConnecting;
-  since_ = now;
+  phase_since_ = now;
   ++counters_.connects;
 }
 
-void LinkState::OnUp(std::uint64_t now) {
+void ConnectionState::OnConnected(std::uint64_t now) {
   phase_ = Phase::kUp;
-  since_ = now;
-  writing_since_.reset();
+  phase_since_ = now;
+  unacknowledged_since_.reset();
 }
 
-void LinkState::OnDown(std::uint64_t now) {
-  // One that accepts and falls again at once is treated as one that refuses: the wait goes on growing. Only a
-  // connection that held starts it anew.
-  const bool held = phase_ == Phase::kUp && now - since_ >= settings_.steady_us;
-  if (phase_ == Phase::kUp && !held) ++counters_.flaps;
+void ConnectionState::OnDisconnected(std::uint64_t now) {
+  // A connection that breaks soon after it was accepted is treated like one that was refused: the back-off keeps
+  // growing. Only a connection that was stable resets it.
+  const bool stable = phase_ == Phase::kUp && now - phase_since_ >= settings_.stable_time_us;
+  if (phase_ == Phase::kUp && !stable) ++counters_.flaps;
   ++counters_.failures;
   phase_ = Phase::kDown;
-  writing_since_.reset();
-  wait_ = held || wait_ == 0 ? settings_.least_wait_us : std::min(settings_.longest_wait_us, wait_ * 2);
-  chance_ ^= chance_ << 13U;
-  chance_ ^= chance_ >> 7U;
-  chance_ ^= chance_ << 17U;
-  // Between half the wait and all of it.
-  connect_at_ = now + wait_ / 2 + chance_ % (wait_ / 2 + 1);
+  unacknowledged_since_.reset();
+  backoff_us_ =
+      stable || backoff_us_ == 0 ? settings_.least_wait_us : std::min(settings_.longest_wait_us, backoff_us_ * 2);
+  random_ ^= random_ << 13U;
+  random_ ^= random_ >> 7U;
+  random_ ^= random_ << 17U;
+  // Jitter: between half the back-off and all of it.
+  connect_at_ = now + backoff_us_ / 2 + random_ % (backoff_us_ / 2 + 1);
 }
 
-void LinkState::OnRenewed(std::uint64_t now) {
+void ConnectionState::OnReplaced(std::uint64_t now) {
   phase_ = Phase::kDown;
-  writing_since_.reset();
+  unacknowledged_since_.reset();
   connect_at_ = now;
 }
 
-void LinkState::OnProgress(std::uint64_t now) {
-  if (writing_since_) writing_since_ = now;
+void ConnectionState::OnAcknowledged(std::uint64_t now) {
+  if (unacknowledged_since_) unacknowledged_since_ = now;
 }
 
-void LinkState::OnWriteDone(std::uint64_t now) {
-  writing_since_.reset();
-  if (now - since_ >= settings_.steady_us) wait_ = 0;
+void ConnectionState::OnAllAcknowledged(std::uint64_t now) {
+  unacknowledged_since_.reset();
+  if (now - phase_since_ >= settings_.stable_time_us) backoff_us_ = 0;
 }
 
-std::optional<std::uint64_t> LinkState::GiveUpAt() const {
-  if (phase_ == Phase::kConnecting) return since_ + settings_.connect_us;
-  if (phase_ == Phase::kUp && writing_since_) return *writing_since_ + settings_.stall_us;
+std::optional<std::uint64_t> ConnectionState::TimeoutAt() const {
+  if (phase_ == Phase::kConnecting) return phase_since_ + settings_.connect_timeout_us;
+  if (phase_ == Phase::kUp && unacknowledged_since_) return *unacknowledged_since_ + settings_.stall_us;
   return std::nullopt;
 }
 
-bool LinkState::Overdue(std::uint64_t now) {
-  const auto at = GiveUpAt();
-  if (!at || now < *at) return false;
+bool ConnectionState::CheckTimeout(std::uint64_t now) {
+  const auto deadline = TimeoutAt();
+  if (!deadline || now < *deadline) return false;
   counters_.stalls += phase_ == Phase::kUp ? 1 : 0;
   return true;
 }
--- a/src/flow/record_codec.cpp
+++ b/src/flow/record_codec.cpp
@@ -7,20 +7,20 @@
 namespace croftrun::flow {
 namespace {
 
-// Every number of a record, in the order it is written: one list for both directions.
+// Visits every number of a record in the stored order. The same list serves writing and reading.
 template <typename Record, typename Visit>
-bool EachNumber(Record& r, Visit visit) {
-  bool fine = visit(r.kind) && visit(r.end_reason) && visit(r.replay) && visit(r.call) && visit(r.start_ms) &&
-              visit(r.end_ms) && visit(r.exchange) && visit(r.origin) && visit(r.destination) && visit(r.group_in) &&
-              visit(r.set_up_us) && visit(r.rules) && visit(r.customer) && visit(r.call_class) && visit(r.attempts) &&
-              visit(r.answer) && visit(r.outcome) && visit(r.cause) && visit(r.priority) && visit(r.width) &&
-              visit(r.tandem) && visit(r.in_transit);
-  if (fine && r.kind == RecordKind::kCall) {
-    for (auto& tried : r.tried) fine = fine && visit(tried);
+bool VisitNumbers(Record& r, Visit visit) {
+  bool ok = visit(r.kind) && visit(r.end_reason) && visit(r.replay) && visit(r.call) && visit(r.start_ms) &&
+            visit(r.end_ms) && visit(r.exchange) && visit(r.origin) && visit(r.destination) && visit(r.group_in) &&
+            visit(r.set_up_delay_us) && visit(r.rules_version) && visit(r.customer) && visit(r.call_class) &&
+            visit(r.attempts) && visit(r.answer) && visit(r.outcome) && visit(r.cause) && visit(r.priority) &&
+            visit(r.width) && visit(r.tandem) && visit(r.in_transit);
+  if (ok && r.kind == RecordKind::kCall) {
+    for (auto& attempted_exchanges : r.attempted_exchanges) ok = ok && visit(attempted_exchanges);
   }
-  if (fine && r.kind == RecordKind::kGroup)
-    fine = visit(r.sent) && visit(r.stood) && visit(r.turned_back) && visit(r.lost);
-  return fine;
+  if (ok && r.kind == RecordKind::kGroup)
+    ok = visit(r.sent) && visit(r.established) && visit(r.rejected) && visit(r.lost);
+  return ok;
 }
 
 void Put(std::uint64_t value, std::size_t octets, std::string* out) {
@@ -54,8 +54,8 @@
 
 }  // namespace
 
-void Append(const FlowRecord& record, std::string* octets) {
-  EachNumber(record, [&](const auto& number) {
+void AppendRecord(const FlowRecord& record, std::string* octets) {
+  VisitNumbers(record, [&](const auto& number) {
     Put(static_cast<std::uint64_t>(number), sizeof number, octets);
     return true;
   });
@@ -63,10 +63,10 @@
   PutText(record.calling.text(), octets);
 }
 
-bool Take(std::string_view* octets, FlowRecord* record) {
+bool TakeRecord(std::string_view* octets, FlowRecord* record) {
   std::string_view rest = *octets;
   FlowRecord read;
-  const bool fine = EachNumber(read, [&](auto& number) {
+  const bool ok = VisitNumbers(read, [&](auto& number) {
     using Number = std::remove_reference_t<decltype(number)>;
     std::uint64_t value = 0;
     if (!Get(&rest, sizeof number, &value)) return false;
@@ -83,7 +83,7 @@
     }
     return true;
   });
-  if (!fine || !GetText(&rest, &read.called) || !GetText(&rest, &read.calling)) return false;
+  if (!ok || !GetText(&rest, &read.called) || !GetText(&rest, &read.calling)) return false;
   *octets = rest;
   *record = read;
   return true;
--- a/src/flow/record_codec.h
+++ b/src/flow/record_codec.h
@@ -1,4 +1,4 @@
-// Flow records as octets, for the spool: whole, little-endian, independent of how the compiler lays them out. No I/O.
+// Serializes flow records for the spool: little-endian and independent of the compiler's structure layout. No I/O.
 #ifndef CROFTRUN_FLOW_RECORD_CODEC_H_
 #define CROFTRUN_FLOW_RECORD_CODEC_H_
 
@@ -9,12 +9,14 @@
 
 namespace croftrun::flow {
 
-// Changes with every change of what is written.
+// Version of the stored format; changes with every change of what is written.
 inline constexpr std::uint8_t kRecordFormat = 1;
 
-void Append(const FlowRecord& record, std::string* octets);
-// Takes one record off the front. False: there is no whole and sound one.
-bool Take(std::string_view* octets, FlowRecord* record);
+// Appends the serialized record.
+void AppendRecord(const FlowRecord& record, std::string* octets);
+// Removes one record from the front. Returns false, and leaves `octets` as it is, if there is no complete, valid
+// record.
+bool TakeRecord(std::string_view* octets, FlowRecord* record);
 
 }  // namespace croftrun::flow
 
--- a/src/flow/recorder.cpp
+++ b/src/flow/recorder.cpp
@@ -5,24 +5,24 @@
 namespace croftrun::flow {
 namespace {
 
-std::uint32_t Short(TimeUs us) { return static_cast<std::uint32_t>(std::min<TimeUs>(us, 0xffffffffU)); }
+std::uint32_t ClampToUint32(TimeUs us) { return static_cast<std::uint32_t>(std::min<TimeUs>(us, 0xffffffffU)); }
 
 }  // namespace
 
 Recorder::Recorder(const RecorderSettings& settings, core::Runtime* runtime, Ring* ring)
-    : settings_(settings), runtime_(runtime), ring_(ring), sweep_(runtime) {
-  if (settings_.interval_us > 0) sweep_.Start(settings_.interval_us, [this] { Sweep(); });
+    : settings_(settings), runtime_(runtime), ring_(ring), interval_timer_(runtime) {
+  if (settings_.interval_us > 0) interval_timer_.Start(settings_.interval_us, [this] { PushIntervals(); });
 }
 
-void Recorder::Stamp(TimeUs from, TimeUs to, FlowRecord* record) const {
+void Recorder::SetTimes(TimeUs from, TimeUs to, FlowRecord* record) const {
   const std::int64_t wall = runtime_->WallUs();
   const TimeUs now = runtime_->Now();
-  const auto ago = [&](TimeUs at) {
+  const auto wall_ms = [&](TimeUs at) {
     const std::int64_t us = wall - static_cast<std::int64_t>(now - std::min(now, at));
     return static_cast<std::uint64_t>(std::max<std::int64_t>(0, us) / 1000);
   };
-  record->start_ms = ago(from);
-  record->end_ms = ago(to);
+  record->start_ms = wall_ms(from);
+  record->end_ms = wall_ms(to);
 }
 
 void Recorder::OnAttempt(const core::AttemptRecord& record) {
@@ -36,19 +36,20 @@
   flow.cause = static_cast<std::uint8_t>(record.cause);
   flow.width = static_cast<std::uint8_t>(std::min<std::size_t>(record.circuits, 255));
   flow.attempts = static_cast<std::uint8_t>(std::min(record.attempt, 255));
-  if (record.stood_at > 0) flow.set_up_us = Short(record.stood_at - record.sent_at);
+  if (record.stood_at > 0) flow.set_up_delay_us = ClampToUint32(record.stood_at - record.sent_at);
   if (record.outcome != Outcome::kOk) flow.end_reason = EndReason::kForced;
-  Stamp(record.sent_at, record.ended_at, &flow);
-  const auto found = open_.find(record.call);
-  if (found != open_.end() || open_.size() < settings_.most_open) {
-    Open& open = found != open_.end() ? found->second : open_[record.call];
-    if (open.attempts < open.tried.size()) open.tried[open.attempts] = record.to;
-    if (open.attempts < 255) ++open.attempts;
+  SetTimes(record.sent_at, record.ended_at, &flow);
+  const auto found = tracked_calls_.find(record.call);
+  if (found != tracked_calls_.end() || tracked_calls_.size() < settings_.most_open) {
+    TrackedCall& tracked = found != tracked_calls_.end() ? found->second : tracked_calls_[record.call];
+    if (tracked.attempts < tracked.attempted_exchanges.size())
+      tracked.attempted_exchanges[tracked.attempts] = record.to;
+    if (tracked.attempts < 255) ++tracked.attempts;
   }
   ring_->Push(flow);
 }
 
-void Recorder::Describe(const core::CallRecord& record, FlowRecord* flow) {
+void Recorder::FillCallFields(const core::CallRecord& record, FlowRecord* flow) {
   const core::Offer& offer = *record.offer;
   flow->call = record.call;
   flow->origin = record.origin;
@@ -57,7 +58,7 @@
   flow->call_class = static_cast<std::uint8_t>(offer.call_class);
   flow->customer = static_cast<std::uint16_t>(offer.customer);
   flow->priority = static_cast<std::uint8_t>(std::clamp(offer.priority, 0, 255));
-  flow->rules = offer.rules;
+  flow->rules_version = offer.rules;
   flow->width = static_cast<std::uint8_t>(std::min<std::size_t>(offer.width, 255));
   flow->called.Set(offer.called);
   flow->calling.Set(offer.calling);
@@ -65,44 +66,46 @@
 }
 
 void Recorder::OnStands(const core::CallRecord& record) {
-  const auto found = open_.find(record.call);
-  if (found == open_.end() && open_.size() >= settings_.most_open) return;  // it is told of at its end only
-  Open& open = found != open_.end() ? found->second : open_[record.call];
-  open.standing.kind = RecordKind::kInterval;
-  open.standing.end_reason = EndReason::kActive;
-  open.standing.exchange = settings_.exchange;
-  Describe(record, &open.standing);
-  open.stood_at = std::max<TimeUs>(1, record.answered_at);
+  const auto found = tracked_calls_.find(record.call);
+  if (found == tracked_calls_.end() && tracked_calls_.size() >= settings_.most_open)
+    return;  // the call is reported at its end only
+  TrackedCall& tracked = found != tracked_calls_.end() ? found->second : tracked_calls_[record.call];
+  tracked.interval.kind = RecordKind::kInterval;
+  tracked.interval.end_reason = EndReason::kActive;
+  tracked.interval.exchange = settings_.exchange;
+  FillCallFields(record, &tracked.interval);
+  tracked.established_at = std::max<TimeUs>(1, record.answered_at);
 }
 
 void Recorder::OnCall(const core::CallRecord& record) {
   FlowRecord flow;
   flow.exchange = settings_.exchange;
-  Describe(record, &flow);
+  FillCallFields(record, &flow);
   flow.attempts = static_cast<std::uint8_t>(std::clamp(record.attempts, 0, 255));
   if (record.answer) {
     flow.answer = static_cast<std::uint8_t>(1 + static_cast<int>(record.answer->kind));
     flow.cause = static_cast<std::uint8_t>(record.answer->cause);
-    if (record.answer->kind == core::FinalKind::kStands) flow.set_up_us = Short(record.answered_at - record.taken_at);
+    if (record.answer->kind == core::FinalKind::kStands)
+      flow.set_up_delay_us = ClampToUint32(record.answered_at - record.taken_at);
     if (record.answer->kind == core::FinalKind::kRefused) flow.end_reason = EndReason::kResources;
     if (record.answer->kind == core::FinalKind::kFailed) flow.end_reason = EndReason::kForced;
   }
-  if (const auto open = open_.find(record.call); open != open_.end()) {
-    flow.tried = open->second.tried;
-    open_.erase(open);
+  if (const auto tracked = tracked_calls_.find(record.call); tracked != tracked_calls_.end()) {
+    flow.attempted_exchanges = tracked->second.attempted_exchanges;
+    tracked_calls_.erase(tracked);
   }
-  Stamp(record.taken_at, record.ended_at, &flow);
+  SetTimes(record.taken_at, record.ended_at, &flow);
   ring_->Push(flow);
 }
 
-void Recorder::Sweep() {
+void Recorder::PushIntervals() {
   const TimeUs now = runtime_->Now();
-  for (auto& [call, open] : open_) {
-    if (open.stood_at == 0 || now - open.stood_at < settings_.interval_us) continue;
-    Stamp(open.stood_at, now, &open.standing);
-    ring_->Push(open.standing);
+  for (auto& [call, tracked] : tracked_calls_) {
+    if (tracked.established_at == 0 || now - tracked.established_at < settings_.interval_us) continue;
+    SetTimes(tracked.established_at, now, &tracked.interval);
+    ring_->Push(tracked.interval);
   }
-  sweep_.Start(settings_.interval_us, [this] { Sweep(); });
+  interval_timer_.Start(settings_.interval_us, [this] { PushIntervals(); });
 }
 
 }  // namespace croftrun::flow
--- a/src/flow/ring.h
+++ b/src/flow/ring.h
@@ -1,5 +1,5 @@
-// From the call path to the exporter: bounded, lock-free, one writer and one reader. The call path never waits: what
-// does not fit is counted and dropped, interval records first and the records of whole calls last.
+// Passes flow records from the call path to the exporter: bounded, lock-free, one writer and one reader. The call path
+// never blocks: records that do not fit are dropped and counted, interval records first and call records last.
 #ifndef CROFTRUN_FLOW_RING_H_
 #define CROFTRUN_FLOW_RING_H_
 
@@ -15,23 +15,24 @@
  public:
   explicit Ring(std::size_t records) : size_(records), queue_(records) {}
 
-  // By the call path.
+  // Called by the call path. Returns false if the record was dropped.
   bool Push(const FlowRecord& record) {
-    const std::size_t room = queue_.write_available();
-    // The last eighth is for calls, the last half for calls and attempts.
-    const std::size_t kept = record.kind == RecordKind::kCall      ? 0
-                             : record.kind == RecordKind::kAttempt ? size_ / 8
-                                                                   : size_ / 2;
-    if (room <= kept || !queue_.push(record)) {
+    const std::size_t available = queue_.write_available();
+    // The last eighth is reserved for calls, the last half for calls and attempts.
+    const std::size_t reserved = record.kind == RecordKind::kCall      ? 0
+                                 : record.kind == RecordKind::kAttempt ? size_ / 8
+                                                                       : size_ / 2;
+    if (available <= reserved || !queue_.push(record)) {
       dropped_[static_cast<std::size_t>(record.kind)].fetch_add(1, std::memory_order_relaxed);
       return false;
     }
     pushed_[static_cast<std::size_t>(record.kind)].fetch_add(1, std::memory_order_relaxed);
     return true;
   }
-  // By the exporter.
+  // Called by the exporter. Returns false if the ring is empty.
   bool Pop(FlowRecord* record) { return queue_.pop(*record); }
 
+  // Number of records of a kind that the ring accepted, and that it dropped. Safe to call from any thread.
   std::uint64_t pushed(RecordKind kind) const {
     return pushed_[static_cast<std::size_t>(kind)].load(std::memory_order_relaxed);
   }
@@ -43,6 +44,7 @@
     for (const auto& count : dropped_) sum += count.load(std::memory_order_relaxed);
     return sum;
   }
+  // Memory of the ring.
   std::size_t bytes() const { return size_ * sizeof(FlowRecord); }
 
  private:
--- a/src/flow/shift.h
+++ b/src/flow/shift.h
@@ -1,4 +1,4 @@
-// How attempts went by group over time: what `croftrun flow report` shows, as figures and as a picture. No I/O.
+// Outcomes of attempts by trunk group over time, as `croftrun flow report` shows them in a table and a chart. No I/O.
 #ifndef CROFTRUN_FLOW_SHIFT_H_
 #define CROFTRUN_FLOW_SHIFT_H_
 
@@ -13,48 +13,53 @@
 
 namespace croftrun::flow {
 
-class Shift {
+class AttemptReport {
  public:
   struct Sums {
-    std::uint64_t direct = 0, by_way_of = 0, not_stood = 0;  // stood on the first two
-    std::uint64_t sent() const { return direct + by_way_of + not_stood; }
+    // Attempts that were established on the direct group or via a tandem, and those that were not established.
+    std::uint64_t direct = 0, via_tandem = 0, not_established = 0;
+    std::uint64_t sent() const { return direct + via_tandem + not_established; }
     void Add(const Sums& other) {
       direct += other.direct;
-      by_way_of += other.by_way_of;
-      not_stood += other.not_stood;
+      via_tandem += other.via_tandem;
+      not_established += other.not_established;
     }
   };
   struct Group {
-    std::uint64_t exchange = 0, group = 0;  // whose, and the exchange at its other end
+    std::uint64_t exchange = 0, group = 0;  // the exporting exchange, and the exchange at the far end
     Sums before, after;
     std::vector<Sums> bins;
   };
-  struct Picture {
+  struct Chart {
     std::string title;
     std::uint64_t bin_ms = 1000;
-    std::vector<std::pair<std::uint64_t, std::string>> marks;  // Unix ms and what happened
+    std::vector<std::pair<std::uint64_t, std::string>> marks;  // Unix time in ms and a label
   };
 
-  // Attempt records count; of those marked as possibly repeated, each once.
+  // Adds an attempt record; records of other kinds are ignored. One that is marked as possibly repeated and has been
+  // seen before is not counted again.
   void Add(const DecodedRecord& record);
+  // Number of attempts counted, and of repeats left out.
   std::uint64_t attempts() const { return attempts_.size(); }
   std::uint64_t repeated() const { return repeated_; }
-  // Unix ms of the first attempt's start; 0 without any.
-  std::uint64_t begins() const;
-  // By exchange and group. Bins from the first attempt on, as many as are needed, kMostBins at most.
-  std::vector<Group> Groups(std::uint64_t split_ms, std::uint64_t bin_ms) const;
-  // A panel for each group, over time: stood, stood by way of a tandem, did not stand.
-  std::string Svg(const Picture& picture) const;
+  // Start of the first attempt, Unix time in ms; 0 if there is none.
+  std::uint64_t start_ms() const;
+  // Sums by exchange and group, before and after `split_ms`. The bins start at the first attempt; there are at most
+  // kMaxBins.
+  std::vector<Group> SumByGroup(std::uint64_t split_ms, std::uint64_t bin_ms) const;
+  // Draws a chart over time with one panel per group: attempts established directly, established via a tandem, and not
+  // established.
+  std::string RenderSvg(const Chart& chart) const;
 
-  static constexpr std::uint64_t kMostBins = 600;
+  static constexpr std::uint64_t kMaxBins = 600;
 
  private:
   struct Attempt {
     std::uint64_t exchange = 0, group = 0, start = 0;
-    bool stood = false, tandem = false;
+    bool established = false, tandem = false;
   };
   std::vector<Attempt> attempts_;
-  std::unordered_set<std::uint64_t> seen_;
+  std::unordered_set<std::uint64_t> seen_attempts_;
   std::uint64_t repeated_ = 0;
 };
 
--- a/src/flow/tls_files.h
+++ b/src/flow/tls_files.h
@@ -1,4 +1,4 @@
-// What a TLS connection to a collector is set up from.
+// The files that a TLS connection to a collector is configured with.
 #ifndef CROFTRUN_FLOW_TLS_FILES_H_
 #define CROFTRUN_FLOW_TLS_FILES_H_
 
@@ -6,10 +6,10 @@
 
 namespace croftrun::flow {
 
-// Files in PEM. Without certificate and key none is shown to the collector.
+// Paths of PEM files. Without certificate and key, the exporter presents no client certificate.
 struct TlsFiles {
   std::string authorities, certificate, key;
-  std::string name;  // that the collector's certificate must be for; its address if empty
+  std::string name;  // expected in the collector's certificate; if empty, its address
 };
 
 }  // namespace croftrun::flow
--- a/src/flow/tls_keys.h
+++ b/src/flow/tls_keys.h
@@ -1,4 +1,4 @@
-// Certificates and keys of a TLS connection to a collector: read, checked, and read again when their files change.
+// Loads and checks the certificates and key of a TLS connection to a collector, and loads them again when files change.
 #ifndef CROFTRUN_FLOW_TLS_KEYS_H_
 #define CROFTRUN_FLOW_TLS_KEYS_H_
 
@@ -17,29 +17,30 @@
  public:
   explicit TlsKeys(TlsFiles files) : files_(std::move(files)) {}
 
-  // The files are others than those last read (time, size or inode).
-  bool Changed() const;
-  // Reads them. False: `*error` says which file and why, and the context before, if there was one, stays in force.
+  // True if a file differs in time, size or inode from the one last read, or if no files have been loaded yet.
+  bool HasChanged() const;
+  // Loads the files. Returns false if one is at fault: `*error` names it and the reason, and the previous context, if
+  // any, stays in use.
   bool Load(std::string* error);
   const std::shared_ptr<boost::asio::ssl::context>& context() const { return context_; }
-  // When our own certificate ends, Unix seconds; nothing without one.
-  std::optional<std::int64_t> ends() const { return ends_; }
+  // Expiry of the exporter's own certificate, Unix seconds; nothing without one.
+  std::optional<std::int64_t> certificate_expiry() const { return certificate_expiry_; }
 
-  // To be called on each new connection: TLS asks for this name and accepts no certificate for another (RFC 6125), nor
-  // one that no authority of ours signed. `address` stands in for a name where none is set.
-  void Expect(SSL* connection, const std::string& address) const;
-  // Why a handshake failed, in words: of the certificate, if that was it.
-  static std::string Why(SSL* connection, const boost::system::error_code& error);
-  // When the other side's certificate ends, Unix seconds.
-  static std::optional<std::int64_t> EndOfPeer(SSL* connection);
+  // To be called on each new connection. Sets the name that TLS requests (SNI) and that the collector's certificate has
+  // to match (RFC 6125), besides being signed by a configured authority. `address` is used if no name is set.
+  void SetExpectedPeer(SSL* connection, const std::string& address) const;
+  // Describes why a handshake failed, with the fault of the certificate if that is the reason.
+  static std::string DescribeFailure(SSL* connection, const boost::system::error_code& error);
+  // Expiry of the collector's certificate, Unix seconds.
+  static std::optional<std::int64_t> PeerCertificateExpiry(SSL* connection);
 
  private:
-  std::string Stamp() const;
+  std::string FileVersions() const;
 
   TlsFiles files_;
-  std::string stamp_;
+  std::string loaded_versions_;
   std::shared_ptr<boost::asio::ssl::context> context_;
-  std::optional<std::int64_t> ends_;
+  std::optional<std::int64_t> certificate_expiry_;
 };
 
 }  // namespace croftrun::flow
--- a/tests/flow_codec_test.cpp
+++ b/tests/flow_codec_test.cpp
@@ -1,4 +1,4 @@
-// IPFIX and NetFlow v9: what is encoded is read again by our decoder and by libfixbuf, which no one here wrote.
+// IPFIX and NetFlow v9: encoded messages are read back by our decoder and by libfixbuf, an independent implementation.
 #include <fixbuf/public.h>
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -16,7 +16,7 @@
 namespace croftrun::flow {
 namespace {
 
-FlowRecord Call(std::uint64_t number) {
+FlowRecord MakeCall(std::uint64_t number) {
   FlowRecord r;
   r.call = number;
   r.start_ms = 1'796'000'000'123;
@@ -24,21 +24,21 @@
   r.exchange = 3;
   r.origin = 3;
   r.destination = 7;
-  r.set_up_us = 123'456;
-  r.rules = 9;
+  r.set_up_delay_us = 123'456;
+  r.rules_version = 9;
   r.customer = 2;
   r.call_class = 1;
   r.attempts = 2;
   r.answer = 1;
   r.cause = 16;
-  r.tried = {5, 7, 0, 0, 0, 0};
+  r.attempted_exchanges = {5, 7, 0, 0, 0, 0};
   r.called.Set("2100200017");
   r.calling.Set("aaln/417");
   return r;
 }
 
-FlowRecord Attempt(std::uint64_t number) {
-  FlowRecord r = Call(number);
+FlowRecord MakeAttempt(std::uint64_t number) {
+  FlowRecord r = MakeCall(number);
   r.kind = RecordKind::kAttempt;
   r.attempts = 1;
   r.tandem = true;
@@ -46,29 +46,29 @@
   return r;
 }
 
-EncoderSettings Settings(Protocol protocol = Protocol::kIpfix) {
+EncoderSettings MakeSettings(Protocol protocol = Protocol::kIpfix) {
   EncoderSettings settings;
   settings.protocol = protocol;
-  settings.domain = 3;
+  settings.observation_domain = 3;
   settings.classes = {"slot-check", "slot-hold"};
   return settings;
 }
 
-// One message with templates, one with the description of our elements, one with data.
-std::vector<std::string> Messages(Encoder& encoder, const std::vector<FlowRecord>& records) {
+// One message with the templates, then messages with the records and the exporter's counters.
+std::vector<std::string> EncodeMessages(Encoder& encoder, const std::vector<FlowRecord>& records) {
   std::vector<std::string> messages;
-  encoder.Begin();
+  encoder.BeginMessage();
   EXPECT_TRUE(encoder.AddTemplates());
-  messages.push_back(encoder.Finish(1'796'000'005, 5000));
-  encoder.Begin();
+  messages.push_back(encoder.FinishMessage(1'796'000'005, 5000));
+  encoder.BeginMessage();
   const auto flush = [&] {
-    if (!encoder.empty()) messages.push_back(encoder.Finish(1'796'000'005, 5000));
-    encoder.Begin();
+    if (!encoder.empty()) messages.push_back(encoder.FinishMessage(1'796'000'005, 5000));
+    encoder.BeginMessage();
   };
   for (const FlowRecord& record : records) {
-    if (encoder.Add(record)) continue;
+    if (encoder.AddRecord(record)) continue;
     flush();
-    EXPECT_TRUE(encoder.Add(record));
+    EXPECT_TRUE(encoder.AddRecord(record));
   }
   ExportCounts counts;
   counts.exported = records.size();
@@ -83,21 +83,21 @@
 
 class FlowCodec : public testing::TestWithParam<Protocol> {};
 
-TEST_P(FlowCodec, WhatIsEncodedIsReadAgain) {
-  Encoder encoder(Settings(GetParam()));
+TEST_P(FlowCodec, DecodesEncodedRecords) {
+  Encoder encoder(MakeSettings(GetParam()));
   Decoder decoder;
   std::vector<std::uint64_t> calls, attempts;
   std::uint64_t ring_full = 0;
-  for (const std::string& message : Messages(encoder, {Call(1), Attempt(1), Call(2)})) {
+  for (const std::string& message : EncodeMessages(encoder, {MakeCall(1), MakeAttempt(1), MakeCall(2)})) {
     std::string error;
-    const bool fine = decoder.Message(
+    const bool ok = decoder.Message(
         message,
         [&](const DecodedRecord& r) {
           if (r.template_id == kCountsTemplate) ring_full = r.Number(Source::kRingFull);
           if (r.template_id == kAttemptTemplate) {
             attempts.push_back(r.Number(Source::kCall));
             EXPECT_EQ(r.Number(Source::kGroupOut), 7U);
-            EXPECT_EQ(r.Number(Source::kTandem), 1U);
+            EXPECT_EQ(r.Number(Source::kViaTandem), 1U);
             EXPECT_EQ(r.Number(Source::kOutcome), 4U);
           }
           if (r.template_id != kCallTemplate) return;
@@ -106,15 +106,15 @@
           EXPECT_EQ(r.Text(Source::kCalled), "2100200017");
           EXPECT_EQ(r.Text(Source::kCalling), "aaln/417");
           EXPECT_EQ(r.Text(Source::kClass), "slot-hold");
-          EXPECT_EQ(r.Number(Source::kSetUp), 123'456U);
-          EXPECT_EQ(r.Number(Source::kRules), 9U);
+          EXPECT_EQ(r.Number(Source::kSetUpDelay), 123'456U);
+          EXPECT_EQ(r.Number(Source::kRulesVersion), 9U);
           if (GetParam() == Protocol::kIpfix) {
-            ASSERT_NE(r.Find(Source::kTried), nullptr);
-            EXPECT_EQ(ListOf(r.Find(Source::kTried)->octets), (std::vector<std::uint64_t>{5, 7}));
+            ASSERT_NE(r.Find(Source::kAttemptedExchanges), nullptr);
+            EXPECT_EQ(ReadBasicList(r.Find(Source::kAttemptedExchanges)->octets), (std::vector<std::uint64_t>{5, 7}));
           }
         },
         &error);
-    EXPECT_TRUE(fine) << error;
+    EXPECT_TRUE(ok) << error;
   }
   EXPECT_EQ(calls, (std::vector<std::uint64_t>{1, 2}));
   EXPECT_EQ(attempts, (std::vector<std::uint64_t>{1}));
@@ -122,18 +122,18 @@
   EXPECT_EQ(decoder.counters().lost, 0U);
 }
 
-TEST_P(FlowCodec, MessagesStayWithinTheirSizeAndTheSequenceNumberWraps) {
-  EncoderSettings settings = Settings(GetParam());
-  for (const std::size_t most : {700U, 701U, 702U, 703U, 1400U, 65'000U}) {
-    settings.most_octets = most;
+TEST_P(FlowCodec, KeepsMessageSizeLimitAndWrapsSequenceNumber) {
+  EncoderSettings settings = MakeSettings(GetParam());
+  for (const std::size_t max_octets : {700U, 701U, 702U, 703U, 1400U, 65'000U}) {
+    settings.max_message_octets = max_octets;
     Encoder encoder(settings);
-    encoder.SetSequence(0xffff'fff0U);
+    encoder.SetSequenceNumber(0xffff'fff0U);
     Decoder decoder;
     std::vector<FlowRecord> records;
-    for (std::uint64_t i = 0; i < 300; ++i) records.push_back(i % 3 == 0 ? Attempt(i) : Call(i));
+    for (std::uint64_t i = 0; i < 300; ++i) records.push_back(i % 3 == 0 ? MakeAttempt(i) : MakeCall(i));
     std::size_t data = 0;
-    for (const std::string& message : Messages(encoder, records)) {
-      EXPECT_LE(message.size(), most);
+    for (const std::string& message : EncodeMessages(encoder, records)) {
+      EXPECT_LE(message.size(), max_octets);
       std::string error;
       EXPECT_TRUE(decoder.Message(
           message, [&](const DecodedRecord& r) { data += r.options ? 0 : 1; }, &error))
@@ -144,11 +144,11 @@
   }
 }
 
-TEST_P(FlowCodec, LostMessagesAreCountedAndATemplateThatWasLostIsMissed) {
-  Encoder encoder(Settings(GetParam()));
+TEST_P(FlowCodec, CountsLostMessagesAndRecordsWithoutTemplate) {
+  Encoder encoder(MakeSettings(GetParam()));
   std::vector<FlowRecord> records;
-  for (std::uint64_t i = 0; i < 100; ++i) records.push_back(Call(i));
-  const auto messages = Messages(encoder, records);
+  for (std::uint64_t i = 0; i < 100; ++i) records.push_back(MakeCall(i));
+  const auto messages = EncodeMessages(encoder, records);
   Decoder decoder;
   std::string error;
   EXPECT_TRUE(decoder.Message(messages[1], {}, &error));
@@ -166,14 +166,14 @@
 INSTANTIATE_TEST_SUITE_P(Protocols, FlowCodec, testing::Values(Protocol::kIpfix, Protocol::kNetflow9),
                          [](const auto& p) { return std::string(p.param == Protocol::kIpfix ? "Ipfix" : "Netflow9"); });
 
-TEST(FlowDecoder, NoOctetsMakeItFail) {
-  Encoder encoder(Settings());
-  const auto messages = Messages(encoder, {Call(1), Attempt(1)});
-  Encoder v9(Settings(Protocol::kNetflow9));
-  const auto more = Messages(v9, {Call(1), Attempt(1)});
+TEST(FlowDecoder, SurvivesMutatedMessages) {
+  Encoder encoder(MakeSettings());
+  const auto messages = EncodeMessages(encoder, {MakeCall(1), MakeAttempt(1)});
+  Encoder v9(MakeSettings(Protocol::kNetflow9));
+  const auto v9_messages = EncodeMessages(v9, {MakeCall(1), MakeAttempt(1)});
   rc::check([&] {
     Decoder decoder;
-    for (const auto* set : {&messages, &more}) {
+    for (const auto* set : {&messages, &v9_messages}) {
       for (std::string message : *set) {
         for (int edits = *rc::gen::inRange(0, 4); edits > 0; --edits) {
           const auto at = *rc::gen::inRange<std::size_t>(0, message.size());
@@ -181,48 +181,48 @@
         }
         message.resize(*rc::gen::inRange<std::size_t>(0, message.size() + 1));
         decoder.Message(
-            message, [](const DecodedRecord& r) { ListOf(r.fields.back().octets); }, nullptr);
+            message, [](const DecodedRecord& r) { ReadBasicList(r.fields.back().octets); }, nullptr);
       }
     }
   });
 }
 
-// ---- read by libfixbuf ----
+// ---- decoding by libfixbuf ----
 
-struct ReadCall {
+struct FixbufCall {
   std::uint64_t call, start, end;
   std::uint32_t exchange, set_up;
   std::uint8_t answer, attempts;
   std::uint8_t padding[6];
   fbVarfield_t called, calling, call_class;
-  fbBasicList_t tried;
+  fbBasicList_t attempted_exchanges;
 };
 
 struct FixbufResult {
-  std::vector<ReadCall> calls;
+  std::vector<FixbufCall> calls;
   std::vector<std::string> called, classes;
-  std::vector<std::vector<std::uint32_t>> tried;
+  std::vector<std::vector<std::uint32_t>> attempted_exchanges;
   std::size_t types = 0, counts = 0, others = 0;
   std::string error;
 };
 
-// `open` makes the buffer that it reads from, with its session.
+// Reads call records until the end or `max_calls`. `open` creates the buffer to read from, for the given session.
 template <typename Open>
-FixbufResult ReadByFixbuf(Open open, std::size_t most_calls = ~std::size_t{0}) {
+FixbufResult ReadWithFixbuf(Open open, std::size_t max_calls = ~std::size_t{0}) {
   FixbufResult result;
   fbInfoModel_t* model = fbInfoModelAlloc();
   std::vector<std::string> names;
-  for (const Element& element : OwnElements()) names.emplace_back(element.name);
-  std::vector<fbInfoElement_t> own;
+  for (const Element& element : EnterpriseElements()) names.emplace_back(element.name);
+  std::vector<fbInfoElement_t> elements;
   std::size_t at = 0;
-  for (const Element& element : OwnElements()) {
+  for (const Element& element : EnterpriseElements()) {
     fbInfoElement_t e =
         FB_IE_INIT_FULL(names[at++].c_str(), kDocumentationEnterprise, element.id, LengthOf(element.type),
                         FB_IE_F_ENDIAN, 0, 0, static_cast<std::uint8_t>(element.type), nullptr);
-    own.push_back(e);
+    elements.push_back(e);
   }
-  own.push_back(FB_IE_NULL);
-  fbInfoModelAddElementArray(model, own.data());
+  elements.push_back(FB_IE_NULL);
+  fbInfoModelAddElementArray(model, elements.data());
   fbSession_t* session = fbSessionAlloc(model);
   fbInfoElementSpec_t spec[] = {{const_cast<char*>("flowId"), 8, 0},
                                 {const_cast<char*>("flowStartMilliseconds"), 8, 0},
@@ -249,15 +249,15 @@
     result.error = error != nullptr ? error->message : "no connection";
     return result;
   }
-  while (result.calls.size() < most_calls) {
+  while (result.calls.size() < max_calls) {
     std::uint16_t id = 0;
-    fbTemplate_t* of = fBufNextCollectionTemplate(buffer, &id, &error);
-    if (of == nullptr) {
+    fbTemplate_t* record_template = fBufNextCollectionTemplate(buffer, &id, &error);
+    if (record_template == nullptr) {
       if (error != nullptr && !g_error_matches(error, FB_ERROR_DOMAIN, FB_ERROR_EOF)) result.error = error->message;
       g_clear_error(&error);
       break;
     }
-    ReadCall call{};
+    FixbufCall call{};
     std::size_t size = sizeof(call);
     if (!fBufSetInternalTemplate(buffer, 999, &error) ||
         !fBufNext(buffer, reinterpret_cast<std::uint8_t*>(&call), &size, &error)) {
@@ -274,32 +274,33 @@
       result.called.emplace_back(reinterpret_cast<const char*>(call.called.buf), call.called.len);
       result.classes.emplace_back(reinterpret_cast<const char*>(call.call_class.buf), call.call_class.len);
       std::vector<std::uint32_t> list;
-      for (std::uint16_t i = 0; i < call.tried.numElements; ++i)
-        list.push_back(*reinterpret_cast<const std::uint32_t*>(fbBasicListGetIndexedDataPtr(&call.tried, i)));
-      result.tried.push_back(list);
+      for (std::uint16_t i = 0; i < call.attempted_exchanges.numElements; ++i)
+        list.push_back(
+            *reinterpret_cast<const std::uint32_t*>(fbBasicListGetIndexedDataPtr(&call.attempted_exchanges, i)));
+      result.attempted_exchanges.push_back(list);
     }
-    fbBasicListClear(&call.tried);
+    fbBasicListClear(&call.attempted_exchanges);
   }
   return result;
 }
 
-TEST(FlowFixbuf, ReadsOurFileTemplatesOptionsTextsAndLists) {
-  EncoderSettings settings = Settings();
-  settings.most_octets = 6000;
+TEST(FlowFixbuf, ReadsFileWithTemplatesOptionsTextsAndLists) {
+  EncoderSettings settings = MakeSettings();
+  settings.max_message_octets = 6000;
   Encoder encoder(settings);
   std::vector<FlowRecord> records;
-  for (std::uint64_t i = 0; i < 200; ++i) records.push_back(i % 4 == 3 ? Attempt(i) : Call(i));
+  for (std::uint64_t i = 0; i < 200; ++i) records.push_back(i % 4 == 3 ? MakeAttempt(i) : MakeCall(i));
   const std::string file = testing::TempDir() + "croftrun-flow-codec.ipfix";
   std::FILE* out = std::fopen(file.c_str(), "wb");
-  auto messages = Messages(encoder, records);
-  encoder.Begin();
-  ASSERT_EQ(encoder.AddTypes(0), OwnElements().size());
-  messages.push_back(encoder.Finish(1'796'000'006, 6000));
+  auto messages = EncodeMessages(encoder, records);
+  encoder.BeginMessage();
+  ASSERT_EQ(encoder.AddElementTypes(0), EnterpriseElements().size());
+  messages.push_back(encoder.FinishMessage(1'796'000'006, 6000));
   for (const std::string& message : messages) std::fwrite(message.data(), 1, message.size(), out);
   std::fclose(out);
   std::FILE* stream = std::fopen(file.c_str(), "rb");
   fBuf_t* buffer = nullptr;
-  const FixbufResult read = ReadByFixbuf([&](fbSession_t* session, GError**) {
+  const FixbufResult read = ReadWithFixbuf([&](fbSession_t* session, GError**) {
     return buffer = fBufAllocForCollection(session, fbCollectorAllocFP(nullptr, stream));
   });
   fBufFree(buffer);
@@ -309,7 +310,7 @@
   ASSERT_EQ(read.calls.size(), 150U);
   EXPECT_EQ(read.others, 50U);
   EXPECT_EQ(read.counts, 1U);
-  EXPECT_EQ(read.types, OwnElements().size());
+  EXPECT_EQ(read.types, EnterpriseElements().size());
   EXPECT_EQ(read.calls[1].call, 1U);
   EXPECT_EQ(read.calls[1].start, 1'796'000'000'123U);
   EXPECT_EQ(read.calls[1].exchange, 3U);
@@ -317,13 +318,13 @@
   EXPECT_EQ(read.calls[1].answer, 1U);
   EXPECT_EQ(read.called[1], "2100200017");
   EXPECT_EQ(read.classes[1], "slot-hold");
-  EXPECT_EQ(read.tried[1], (std::vector<std::uint32_t>{5, 7}));
+  EXPECT_EQ(read.attempted_exchanges[1], (std::vector<std::uint32_t>{5, 7}));
 }
 
-// The exporter's own stream, as it comes. The listener's thread is the test's; records are fed by another.
+// Reads the exporter's live output. The test's thread listens; another thread feeds the records.
 class FixbufLive : public testing::TestWithParam<Transport> {};
 
-TEST_P(FixbufLive, ReadsWhatTheExporterSends) {
+TEST_P(FixbufLive, ReadsExporterOutput) {
   const bool tcp = GetParam() == Transport::kTcp;
   constexpr std::size_t kCalls = 500;
   const std::string service = tcp ? "24761" : "24762";
@@ -336,16 +337,16 @@
   fbListener_t* listener = nullptr;
   fBuf_t* buffer = nullptr;
   std::atomic<bool> done{false};
-  std::jthread feed;
-  const FixbufResult read = ReadByFixbuf(
+  std::jthread feeder;
+  const FixbufResult read = ReadWithFixbuf(
       [&](fbSession_t* session, GError** error) -> fBuf_t* {
         listener = fbListenerAlloc(&spec, session, nullptr, nullptr, error);
         if (listener == nullptr) return nullptr;
-        feed = std::jthread([&] {
+        feeder = std::jthread([&] {
           ExporterSettings settings;
           settings.exchange = 3;
           settings.classes = {"slot-check", "slot-hold"};
-          settings.poll_us = 1000;
+          settings.poll_interval_us = 1000;
           CollectorSettings to;
           to.address = {0x7f000001, static_cast<std::uint16_t>(tcp ? 24761 : 24762)};
           to.transport = GetParam();
@@ -353,12 +354,12 @@
           settings.collectors = {to};
           exporter = std::make_unique<Exporter>(settings, &ring);
           for (std::uint64_t i = 0; i < kCalls; ++i) {
-            ring.Push(Call(i));
-            ring.Push(Attempt(i));
+            ring.Push(MakeCall(i));
+            ring.Push(MakeAttempt(i));
             if (i % 100 == 99) std::this_thread::sleep_for(std::chrono::milliseconds(3));
           }
           exporter->Stop();
-          // A reader that waits for more than comes ends all the same.
+          // Interrupts a reader that still waits because fewer records arrived than expected.
           for (int i = 0; i < 10'000 && !done; ++i) std::this_thread::sleep_for(std::chrono::milliseconds(1));
           if (!done && buffer != nullptr) fBufInterruptSocket(buffer);
         });
@@ -366,14 +367,14 @@
       },
       kCalls);
   done = true;
-  feed.join();
+  feeder.join();
   EXPECT_EQ(read.error, "");
   ASSERT_EQ(read.calls.size(), kCalls);
   for (std::uint64_t i = 0; i < kCalls; ++i) EXPECT_EQ(read.calls[i].call, i);
-  EXPECT_EQ(read.types, OwnElements().size());
+  EXPECT_EQ(read.types, EnterpriseElements().size());
   EXPECT_EQ(read.called[1], "2100200017");
   EXPECT_EQ(read.classes[1], "slot-hold");
-  EXPECT_EQ(read.tried[1], (std::vector<std::uint32_t>{5, 7}));
+  EXPECT_EQ(read.attempted_exchanges[1], (std::vector<std::uint32_t>{5, 7}));
   if (tcp) fBufFree(buffer);
   fbListenerFree(listener);
 }
--- a/tests/flow_export_test.cpp
+++ b/tests/flow_export_test.cpp
@@ -1,4 +1,4 @@
-// The way of a record: from the core through ring and queue to collectors that refuse, stall, fall and come back.
+// The path of a record from the core through ring and queue to collectors that refuse, stall, fail and come back.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -18,7 +18,7 @@
 
 constexpr std::uint64_t kSecond = 1'000'000;
 
-FlowRecord Of(RecordKind kind, std::uint64_t call) {
+FlowRecord MakeRecord(RecordKind kind, std::uint64_t call) {
   FlowRecord record;
   record.kind = kind;
   record.call = call;
@@ -26,92 +26,92 @@
   return record;
 }
 
-// ---- decisions, on a made-up clock ----
+// ---- connection state and backlog, on a simulated clock ----
 
-TEST(LinkState, WaitsLongerEachTimeWithinBoundsAndNotInStep) {
-  LinkSettings settings;
-  LinkState one(settings, 1), other(settings, 2);
+TEST(ConnectionState, BacksOffExponentiallyWithinBoundsAndWithJitter) {
+  ConnectionSettings settings;
+  ConnectionState one(settings, 1), other(settings, 2);
   std::uint64_t now = kSecond, longest = 0;
-  bool apart = false;
+  bool differ = false;
   for (int i = 0; i < 20; ++i) {
-    for (LinkState* link : {&one, &other}) {
-      link->OnConnecting(now);
-      link->OnDown(now);
+    for (ConnectionState* state : {&one, &other}) {
+      state->OnConnecting(now);
+      state->OnDisconnected(now);
     }
-    const std::uint64_t full = std::min(settings.longest_wait_us, settings.least_wait_us << std::min(i, 20));
-    EXPECT_GE(one.connect_at() - now, full / 2);
-    EXPECT_LE(one.connect_at() - now, full);
-    apart = apart || one.connect_at() != other.connect_at();
+    const std::uint64_t backoff = std::min(settings.longest_wait_us, settings.least_wait_us << std::min(i, 20));
+    EXPECT_GE(one.connect_at() - now, backoff / 2);
+    EXPECT_LE(one.connect_at() - now, backoff);
+    differ = differ || one.connect_at() != other.connect_at();
     longest = std::max(longest, one.connect_at() - now);
     now = std::max(one.connect_at(), other.connect_at());
   }
-  EXPECT_TRUE(apart);
+  EXPECT_TRUE(differ);
   EXPECT_LE(longest, settings.longest_wait_us);
 }
 
-TEST(LinkState, OneThatAcceptsAndFallsAtOnceIsNoBetterThanOneThatRefuses) {
-  LinkSettings settings;
-  LinkState link(settings, 1);
+TEST(ConnectionState, KeepsBackingOffWhenConnectionBreaksSoonAfterAccept) {
+  ConnectionSettings settings;
+  ConnectionState state(settings, 1);
   std::uint64_t now = kSecond;
   for (int i = 0; i < 10; ++i) {
-    link.OnConnecting(now);
-    link.OnUp(now);
-    link.OnDown(now + 1000);
-    now = link.connect_at();
+    state.OnConnecting(now);
+    state.OnConnected(now);
+    state.OnDisconnected(now + 1000);
+    now = state.connect_at();
   }
-  EXPECT_EQ(link.counters().flaps, 10U);
-  link.OnConnecting(now);
-  link.OnUp(now);
-  link.OnDown(now + 1000);
-  EXPECT_GT(link.connect_at() - now, settings.longest_wait_us / 2);
-  // One that held is tried again soon.
-  now = link.connect_at();
-  link.OnConnecting(now);
-  link.OnUp(now);
-  now += settings.steady_us + 1;
-  link.OnDown(now);
-  EXPECT_LE(link.connect_at() - now, settings.least_wait_us);
+  EXPECT_EQ(state.counters().flaps, 10U);
+  state.OnConnecting(now);
+  state.OnConnected(now);
+  state.OnDisconnected(now + 1000);
+  EXPECT_GT(state.connect_at() - now, settings.longest_wait_us / 2);
+  // A connection that was stable is retried after the shortest back-off.
+  now = state.connect_at();
+  state.OnConnecting(now);
+  state.OnConnected(now);
+  now += settings.stable_time_us + 1;
+  state.OnDisconnected(now);
+  EXPECT_LE(state.connect_at() - now, settings.least_wait_us);
 }
 
-TEST(LinkState, AWriteWithoutProgressIsGivenUpOneThatMovesIsNot) {
-  LinkSettings settings;
-  LinkState link(settings, 1);
-  link.OnConnecting(0);
-  EXPECT_FALSE(link.Overdue(settings.connect_us - 1));
-  EXPECT_TRUE(link.Overdue(settings.connect_us));
-  link.OnUp(10);
-  EXPECT_FALSE(link.GiveUpAt());
-  link.OnWriteBegun(100);
-  link.OnProgress(100 + settings.stall_us - 1);
-  EXPECT_FALSE(link.Overdue(100 + settings.stall_us));
-  EXPECT_TRUE(link.Overdue(99 + 2 * settings.stall_us));
-  EXPECT_EQ(link.counters().stalls, 1U);
+TEST(ConnectionState, TimesOutWriteWithoutAcknowledgement) {
+  ConnectionSettings settings;
+  ConnectionState state(settings, 1);
+  state.OnConnecting(0);
+  EXPECT_FALSE(state.CheckTimeout(settings.connect_timeout_us - 1));
+  EXPECT_TRUE(state.CheckTimeout(settings.connect_timeout_us));
+  state.OnConnected(10);
+  EXPECT_FALSE(state.TimeoutAt());
+  state.OnWriteStarted(100);
+  state.OnAcknowledged(100 + settings.stall_us - 1);
+  EXPECT_FALSE(state.CheckTimeout(100 + settings.stall_us));
+  EXPECT_TRUE(state.CheckTimeout(99 + 2 * settings.stall_us));
+  EXPECT_EQ(state.counters().stalls, 1U);
 }
 
-TEST(LinkState, AConnectionMadeAnewInOrderIsNoFailureAndOneThatIsYoungProvesNothing) {
-  LinkSettings settings;
-  LinkState link(settings, 1);
-  link.OnConnecting(0);
-  EXPECT_FALSE(link.Proven(10 * kSecond));
-  link.OnUp(10);
-  EXPECT_FALSE(link.Proven(9 + settings.prove_us));
-  EXPECT_TRUE(link.Proven(10 + settings.prove_us));
-  link.OnWriteBegun(100);
-  link.OnRenewed(kSecond);
-  EXPECT_EQ(link.connect_at(), kSecond);
-  EXPECT_EQ(link.counters().failures, 0U);
-  EXPECT_FALSE(link.Overdue(1000 * kSecond));
+TEST(ConnectionState, ReplacedConnectionIsNoFailureAndNewOneIsNotConfirmed) {
+  ConnectionSettings settings;
+  ConnectionState state(settings, 1);
+  state.OnConnecting(0);
+  EXPECT_FALSE(state.IsConfirmed(10 * kSecond));
+  state.OnConnected(10);
+  EXPECT_FALSE(state.IsConfirmed(9 + settings.confirm_time_us));
+  EXPECT_TRUE(state.IsConfirmed(10 + settings.confirm_time_us));
+  state.OnWriteStarted(100);
+  state.OnReplaced(kSecond);
+  EXPECT_EQ(state.connect_at(), kSecond);
+  EXPECT_EQ(state.counters().failures, 0U);
+  EXPECT_FALSE(state.CheckTimeout(1000 * kSecond));
 }
 
-TEST(Backlog, WhenFullTheLeastImportantGoesOldestFirst) {
+TEST(Backlog, EvictsOldestOfLeastImportantRankWhenFull) {
   Backlog backlog(4);
-  backlog.Push(Of(RecordKind::kInterval, 1));
-  backlog.Push(Of(RecordKind::kAttempt, 2));
-  backlog.Push(Of(RecordKind::kAttempt, 3));
-  backlog.Push(Of(RecordKind::kCall, 4));
-  backlog.Push(Of(RecordKind::kCall, 5));      // the interval goes
-  backlog.Push(Of(RecordKind::kAttempt, 6));   // the older attempt goes
-  backlog.Push(Of(RecordKind::kInterval, 7));  // nothing matters less: it is dropped itself
+  backlog.Push(MakeRecord(RecordKind::kInterval, 1));
+  backlog.Push(MakeRecord(RecordKind::kAttempt, 2));
+  backlog.Push(MakeRecord(RecordKind::kAttempt, 3));
+  backlog.Push(MakeRecord(RecordKind::kCall, 4));
+  backlog.Push(MakeRecord(RecordKind::kCall, 5));      // evicts the interval
+  backlog.Push(MakeRecord(RecordKind::kAttempt, 6));   // evicts the older attempt
+  backlog.Push(MakeRecord(RecordKind::kInterval, 7));  // nothing is less important, so it is dropped itself
   EXPECT_EQ(backlog.dropped(RecordKind::kInterval), 2U);
   EXPECT_EQ(backlog.dropped(RecordKind::kAttempt), 1U);
   std::vector<std::uint64_t> order;
@@ -120,21 +120,21 @@
   EXPECT_EQ(backlog.size(), 0U);
 }
 
-TEST(Ring, TheLastPartIsForCalls) {
+TEST(Ring, ReservesLastPartForCalls) {
   Ring ring(64);
   std::uint64_t calls = 0;
-  for (std::uint64_t i = 0; i < 200; ++i) ring.Push(Of(RecordKind::kInterval, i));
+  for (std::uint64_t i = 0; i < 200; ++i) ring.Push(MakeRecord(RecordKind::kInterval, i));
   EXPECT_EQ(ring.pushed(RecordKind::kInterval), 32U);
-  for (std::uint64_t i = 0; i < 200; ++i) ring.Push(Of(RecordKind::kAttempt, i));
+  for (std::uint64_t i = 0; i < 200; ++i) ring.Push(MakeRecord(RecordKind::kAttempt, i));
   EXPECT_EQ(ring.pushed(RecordKind::kAttempt), 24U);
-  for (std::uint64_t i = 0; i < 200; ++i) calls += ring.Push(Of(RecordKind::kCall, i)) ? 1 : 0;
+  for (std::uint64_t i = 0; i < 200; ++i) calls += ring.Push(MakeRecord(RecordKind::kCall, i)) ? 1 : 0;
   EXPECT_EQ(calls, 8U);
   EXPECT_EQ(ring.dropped(), 168U + 176U + 192U);
 }
 
-// ---- the recorder, against the core's own counts on a bad day ----
+// ---- the recorder, compared with the core's own counters on a day with a crash ----
 
-TEST(Recorder, EveryCallAndAttemptOfADayLeavesOneRecord) {
+TEST(Recorder, WritesOneRecordPerCallAndAttempt) {
   PlayedDay day(R"({
     "seed": 7, "length_ms": 8000, "settle_ms": 12000,
     "fleet": {"exchanges": 3, "edges": 1, "zones": 2, "circuits": 12, "lines": 200, "far_us": 10000, "near_us": 1000, "roster_lag_ms": 500},
@@ -149,29 +149,29 @@
   day.runtime.SetWall(1'796'000'000'000'000);
   day.Play();
   const core::CoreCounters& counters = day.edges.At(0).core().counters();
-  std::uint64_t stood = 0, refused = 0, failed = 0, hung_up = 0, lasting = 0;
+  std::uint64_t established = 0, refused = 0, failed = 0, hung_up = 0, intervals = 0;
   std::map<std::uint64_t, std::uint64_t> attempts_of;
   FlowRecord record;
   while (ring.Pop(&record)) {
     EXPECT_LE(record.start_ms, record.end_ms);
     EXPECT_GT(record.end_ms, 1'796'000'000'000U);
     if (record.kind == RecordKind::kAttempt) ++attempts_of[record.call];
-    lasting += record.kind == RecordKind::kInterval ? 1 : 0;
+    intervals += record.kind == RecordKind::kInterval ? 1 : 0;
     if (record.kind != RecordKind::kCall) continue;
-    (record.answer == 1 ? stood : record.answer == 2 ? refused : record.answer == 3 ? failed : hung_up) += 1;
+    (record.answer == 1 ? established : record.answer == 2 ? refused : record.answer == 3 ? failed : hung_up) += 1;
     EXPECT_EQ(record.attempts, attempts_of[record.call]);
-    EXPECT_TRUE(record.attempts == 0 || record.tried[0] > 0);
+    EXPECT_TRUE(record.attempts == 0 || record.attempted_exchanges[0] > 0);
   }
-  EXPECT_EQ(stood, counters.stands);
+  EXPECT_EQ(established, counters.stands);
   EXPECT_EQ(refused, counters.refused);
   EXPECT_EQ(failed, counters.failed);
   EXPECT_EQ(hung_up, counters.hung_up);
   EXPECT_EQ(ring.pushed(RecordKind::kAttempt), counters.attempts);
-  EXPECT_GT(lasting, 10U);
-  EXPECT_EQ(recorder.open(), 0U);
+  EXPECT_GT(intervals, 10U);
+  EXPECT_EQ(recorder.tracked_calls(), 0U);
 }
 
-TEST(Recorder, AClockThatIsSetDuringACallChangesNoDuration) {
+TEST(Recorder, KeepsDurationWhenWallClockIsSetDuringCall) {
   for (const std::int64_t step : {std::int64_t{-3'600'000'000}, std::int64_t{3'600'000'000}}) {
     sim::VirtualRuntime runtime(1);
     Ring ring(64);
@@ -179,7 +179,7 @@
     core::AttemptRecord attempt;
     attempt.sent_at = runtime.Now();
     runtime.RunFor(2'500'000);
-    runtime.SetWall(1'796'000'000'000'000 + step);  // by hand, while the call stands
+    runtime.SetWall(1'796'000'000'000'000 + step);  // the clock is set while the call is established
     attempt.ended_at = runtime.Now();
     recorder.OnAttempt(attempt);
     FlowRecord record;
@@ -191,22 +191,23 @@
 
 // ---- on sockets ----
 
-// Ports of these tests, apart from those of the others.
+// Ports that no other test uses.
 constexpr std::uint16_t kPort = 24'739;
 const core::Address kCollector{0x7f000001, kPort};
 
-ExporterSettings To(std::vector<std::pair<std::uint16_t, Transport>> collectors, Protocol protocol = Protocol::kIpfix) {
+ExporterSettings MakeSettings(std::vector<std::pair<std::uint16_t, Transport>> collectors,
+                              Protocol protocol = Protocol::kIpfix) {
   ExporterSettings settings;
   settings.exchange = 3;
   settings.classes = {"slot-check"};
-  settings.poll_us = 1'000;
+  settings.poll_interval_us = 1'000;
   settings.counts_us = 50'000;
   for (const auto& [port, transport] : collectors) {
     CollectorSettings collector;
     collector.address = {0x7f000001, port};
     collector.transport = transport;
     collector.protocol = protocol;
-    collector.queue = 16'384;  // all that a test feeds: how fast the machine is decides nothing
+    collector.queue = 16'384;  // holds everything a test feeds, so that the speed of the machine does not matter
     collector.link.least_wait_us = 10'000;
     collector.link.longest_wait_us = 50'000;
     collector.link.stall_us = 200'000;
@@ -215,10 +216,10 @@
   return settings;
 }
 
-// Calls and attempts in turn, at a pace the exporter can follow.
-void Feed(Ring* ring, std::uint64_t records) {
+// Pushes calls and attempts in turn, at a pace the exporter can follow.
+void PushRecords(Ring* ring, std::uint64_t records) {
   for (std::uint64_t i = 0; i < records; ++i) {
-    ring->Push(Of(i % 2 == 0 ? RecordKind::kCall : RecordKind::kAttempt, i));
+    ring->Push(MakeRecord(i % 2 == 0 ? RecordKind::kCall : RecordKind::kAttempt, i));
     if (i % 500 == 499) std::this_thread::sleep_for(std::chrono::milliseconds(3));
   }
 }
@@ -228,28 +229,30 @@
   for (int i = 0; i < 5'000 && !done(); ++i) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-std::uint64_t Taken(const Ring& ring) { return ring.pushed(RecordKind::kCall) + ring.pushed(RecordKind::kAttempt); }
+std::uint64_t RecordsTaken(const Ring& ring) {
+  return ring.pushed(RecordKind::kCall) + ring.pushed(RecordKind::kAttempt);
+}
 
 class FlowExport : public testing::TestWithParam<std::tuple<Transport, Protocol>> {};
 
-TEST_P(FlowExport, AllThatTheRingTookArrives) {
+TEST_P(FlowExport, DeliversAllRecordsTakenByRing) {
   const auto [transport, protocol] = GetParam();
   Collector collector(kCollector);
   transport == Transport::kUdp ? collector.StartUdp() : collector.StartTcp(Collector::Mode::kRead);
   Ring ring(16'384);
-  Exporter exporter(To({{kPort, transport}}, protocol), &ring);
-  Feed(&ring, 10'000);
+  Exporter exporter(MakeSettings({{kPort, transport}}, protocol), &ring);
+  PushRecords(&ring, 10'000);
   exporter.Stop();
-  WaitFor([&] { return collector.calls + collector.attempts == Taken(ring); });
+  WaitFor([&] { return collector.calls + collector.attempts == RecordsTaken(ring); });
   collector.Stop();
-  const CollectorFigures figures = exporter.Figures()[0];
+  const CollectorMetrics metrics = exporter.Figures()[0];
   EXPECT_EQ(collector.calls, ring.pushed(RecordKind::kCall));
   EXPECT_EQ(collector.attempts, ring.pushed(RecordKind::kAttempt));
-  EXPECT_EQ(figures.sent, figures.taken);
-  EXPECT_EQ(figures.taken, Taken(ring) + collector.groups);
+  EXPECT_EQ(metrics.sent, metrics.taken);
+  EXPECT_EQ(metrics.taken, RecordsTaken(ring) + collector.groups);
   EXPECT_EQ(collector.decoder().counters().lost, 0U);
   EXPECT_EQ(collector.decoder().counters().malformed, 0U);
-  EXPECT_EQ(collector.types % OwnElements().size(), 0U);  // v9 has none
+  EXPECT_EQ(collector.types % EnterpriseElements().size(), 0U);  // v9 sends none
   EXPECT_EQ(ring.dropped(), 0U);
 }
 
@@ -258,86 +261,86 @@
                                          std::tuple(Transport::kUdp, Protocol::kNetflow9),
                                          std::tuple(Transport::kTcp, Protocol::kIpfix)));
 
-TEST(FlowFaults, OfTwoCollectorsTheDeadOneCostsTheOtherNothing) {
+TEST(FlowFaults, DeliversToOneCollectorWhileOtherIsDown) {
   Collector alive(kCollector);
   alive.StartTcp(Collector::Mode::kRead);
   Ring ring(16'384);
-  ExporterSettings settings = To({{kPort, Transport::kTcp}, {kPort + 1, Transport::kTcp}});
-  settings.stop_us = 2'000'000;
+  ExporterSettings settings = MakeSettings({{kPort, Transport::kTcp}, {kPort + 1, Transport::kTcp}});
+  settings.shutdown_timeout_us = 2'000'000;
   Exporter exporter(settings, &ring);
-  Feed(&ring, 10'000);
+  PushRecords(&ring, 10'000);
   exporter.Stop();
-  WaitFor([&] { return alive.calls + alive.attempts == Taken(ring); });
+  WaitFor([&] { return alive.calls + alive.attempts == RecordsTaken(ring); });
   alive.Stop();
-  EXPECT_EQ(alive.calls + alive.attempts, Taken(ring));
-  const CollectorFigures dead = exporter.Figures()[1];
+  EXPECT_EQ(alive.calls + alive.attempts, RecordsTaken(ring));
+  const CollectorMetrics dead = exporter.Figures()[1];
   EXPECT_EQ(dead.sent, 0U);
   EXPECT_GT(dead.failures, 3U);
-  EXPECT_EQ(dead.taken, dead.queue_full + dead.waiting);  // each one counted
+  EXPECT_EQ(dead.taken, dead.queue_full + dead.waiting);  // every record is accounted for
   EXPECT_EQ(ring.dropped(), 0U);
 }
 
-TEST(FlowFaults, ACollectorThatComesLateGetsWhatWaitedAndIsToldWhatDidNot) {
+TEST(FlowFaults, SendsBacklogAndDropCountsToCollectorThatStartsLate) {
   for (const Transport transport : {Transport::kUdp, Transport::kTcp}) {
     Ring ring(16'384);
-    ExporterSettings settings = To({{kPort, transport}});
+    ExporterSettings settings = MakeSettings({{kPort, transport}});
     settings.collectors[0].queue = 4096;
     Exporter exporter(settings, &ring);
-    Feed(&ring, 10'000);
+    PushRecords(&ring, 10'000);
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     Collector collector(kCollector);
     transport == Transport::kUdp ? collector.StartUdp() : collector.StartTcp(Collector::Mode::kRead);
     WaitFor([&] { return exporter.Figures()[0].waiting == 0 && exporter.Figures()[0].up; });
-    Feed(&ring, 1'000);
+    PushRecords(&ring, 1'000);
     exporter.Stop();
-    const CollectorFigures figures = exporter.Figures()[0];
-    WaitFor([&] { return collector.calls + collector.attempts + collector.groups == figures.sent; });
+    const CollectorMetrics metrics = exporter.Figures()[0];
+    WaitFor([&] { return collector.calls + collector.attempts + collector.groups == metrics.sent; });
     collector.Stop();
-    EXPECT_EQ(collector.calls + collector.attempts + collector.groups, figures.sent);
-    EXPECT_EQ(figures.taken, figures.sent + figures.queue_full + figures.send_failed);
-    EXPECT_GT(figures.queue_full, 5'000U);
-    EXPECT_GE(collector.told_not_sent, figures.queue_full);
-    // Attempts went first: of the calls of the outage as many as the queue holds are there.
+    EXPECT_EQ(collector.calls + collector.attempts + collector.groups, metrics.sent);
+    EXPECT_EQ(metrics.taken, metrics.sent + metrics.queue_full + metrics.send_failed);
+    EXPECT_GT(metrics.queue_full, 5'000U);
+    EXPECT_GE(collector.told_not_sent, metrics.queue_full);
+    // Attempts were dropped first: the queue holds as many calls of the outage as fit.
     EXPECT_GT(collector.calls, 4'000U);
   }
 }
 
-TEST(FlowFaults, ACollectorThatAcceptsAndNeverReadsIsGivenUpAndTheOtherSideNeverWaits) {
+TEST(FlowFaults, DropsConnectionToCollectorThatNeverReadsWithoutBlockingRing) {
   Collector collector(kCollector);
   collector.StartTcp(Collector::Mode::kStall);
   Ring ring(65'536);
-  ExporterSettings settings = To({{kPort, Transport::kTcp}});
-  settings.stop_us = 100'000;
+  ExporterSettings settings = MakeSettings({{kPort, Transport::kTcp}});
+  settings.shutdown_timeout_us = 100'000;
   settings.collectors[0].queue = 65'536;
   settings.collectors[0].most_octets = 60'000;
   Exporter exporter(settings, &ring);
   for (int round = 0; round < 40 && exporter.Figures()[0].stalls == 0; ++round) {
-    Feed(&ring, 3'000);
+    PushRecords(&ring, 3'000);
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
   WaitFor([&] { return exporter.Figures()[0].stalls > 0; });
   exporter.Stop();
-  const CollectorFigures figures = exporter.Figures()[0];
-  EXPECT_GT(figures.stalls, 0U);
-  EXPECT_EQ(figures.taken, figures.sent + figures.queue_full + figures.send_failed + figures.waiting);
+  const CollectorMetrics metrics = exporter.Figures()[0];
+  EXPECT_GT(metrics.stalls, 0U);
+  EXPECT_EQ(metrics.taken, metrics.sent + metrics.queue_full + metrics.send_failed + metrics.waiting);
   EXPECT_EQ(ring.dropped(), 0U);
 }
 
-TEST(FlowFaults, ACollectorThatFlapsIsNotRunAgainst) {
+TEST(FlowFaults, BacksOffFromCollectorThatResetsConnections) {
   Collector collector(kCollector);
   collector.StartTcp(Collector::Mode::kReset);
   Ring ring(16'384);
-  ExporterSettings settings = To({{kPort, Transport::kTcp}});
-  settings.stop_us = 100'000;
+  ExporterSettings settings = MakeSettings({{kPort, Transport::kTcp}});
+  settings.shutdown_timeout_us = 100'000;
   Exporter exporter(settings, &ring);
-  Feed(&ring, 2'000);
+  PushRecords(&ring, 2'000);
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   exporter.Stop();
-  const CollectorFigures figures = exporter.Figures()[0];
-  EXPECT_GT(figures.failures, 2U);
+  const CollectorMetrics metrics = exporter.Figures()[0];
+  EXPECT_GT(metrics.failures, 2U);
   EXPECT_LT(collector.connections, 60U);
-  EXPECT_EQ(figures.sent, 0U);  // its machine acknowledged some, but it fell at once
-  EXPECT_EQ(figures.taken, figures.sent + figures.queue_full + figures.send_failed + figures.waiting);
+  EXPECT_EQ(metrics.sent, 0U);  // its host acknowledged some octets, but the connection was reset at once
+  EXPECT_EQ(metrics.taken, metrics.sent + metrics.queue_full + metrics.send_failed + metrics.waiting);
 }
 
 }  // namespace
