--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -682,7 +682,7 @@
     ++sum.sent;
     if (record.set_up_delay_us > 0) {
       ++sum.established;
-    } else if (outcome == Outcome::kFull) {
+    } else if (outcome == Outcome::kRejected) {
       ++sum.rejected;
     } else if (record.outcome < kOutcomeCount && outcome != Outcome::kCancelled && outcome != Outcome::kOk) {
       ++sum.lost;
--- a/src/flow/recorder.cpp
+++ b/src/flow/recorder.cpp
@@ -15,7 +15,7 @@
 }
 
 void Recorder::SetTimes(TimeUs from, TimeUs to, FlowRecord* record) const {
-  const std::int64_t wall = runtime_->WallUs();
+  const std::int64_t wall = runtime_->WallClockUs();
   const TimeUs now = runtime_->Now();
   const auto wall_ms = [&](TimeUs at) {
     const std::int64_t us = wall - static_cast<std::int64_t>(now - std::min(now, at));
@@ -50,22 +50,22 @@
 }
 
 void Recorder::FillCallFields(const core::CallRecord& record, FlowRecord* flow) {
-  const core::Offer& offer = *record.offer;
+  const core::CallRequest& request = *record.offer;
   flow->call = record.call;
   flow->origin = record.origin;
-  flow->destination = offer.destination;
+  flow->destination = request.destination;
   flow->in_transit = record.in_transit;
-  flow->call_class = static_cast<std::uint8_t>(offer.call_class);
-  flow->customer = static_cast<std::uint16_t>(offer.customer);
-  flow->priority = static_cast<std::uint8_t>(std::clamp(offer.priority, 0, 255));
-  flow->rules_version = offer.rules;
-  flow->width = static_cast<std::uint8_t>(std::min<std::size_t>(offer.width, 255));
-  flow->called.Set(offer.called);
-  flow->calling.Set(offer.calling);
+  flow->call_class = static_cast<std::uint8_t>(request.call_class);
+  flow->customer = static_cast<std::uint16_t>(request.customer);
+  flow->priority = static_cast<std::uint8_t>(std::clamp(request.priority, 0, 255));
+  flow->rules_version = request.rules;
+  flow->width = static_cast<std::uint8_t>(std::min<std::size_t>(request.width, 255));
+  flow->called.Set(request.called);
+  flow->calling.Set(request.calling);
   if (record.in_transit) flow->group_in = record.group_in;
 }
 
-void Recorder::OnStands(const core::CallRecord& record) {
+void Recorder::OnEstablished(const core::CallRecord& record) {
   const auto found = tracked_calls_.find(record.call);
   if (found == tracked_calls_.end() && tracked_calls_.size() >= settings_.most_open)
     return;  // the call is reported at its end only
@@ -85,7 +85,7 @@
   if (record.answer) {
     flow.answer = static_cast<std::uint8_t>(1 + static_cast<int>(record.answer->kind));
     flow.cause = static_cast<std::uint8_t>(record.answer->cause);
-    if (record.answer->kind == core::FinalKind::kStands)
+    if (record.answer->kind == core::FinalKind::kEstablished)
       flow.set_up_delay_us = ClampToUint32(record.answered_at - record.taken_at);
     if (record.answer->kind == core::FinalKind::kRefused) flow.end_reason = EndReason::kResources;
     if (record.answer->kind == core::FinalKind::kFailed) flow.end_reason = EndReason::kForced;
--- a/src/flow/recorder.h
+++ b/src/flow/recorder.h
@@ -16,7 +16,7 @@
   std::size_t most_open = 20'000;   // limit on the calls tracked at a time
 };
 
-class Recorder final : public core::Observer {
+class Recorder final : public core::CallObserver {
  public:
   // `runtime` and `ring` must outlive the recorder.
   Recorder(const RecorderSettings& settings, core::Runtime* runtime, Ring* ring);
@@ -24,7 +24,7 @@
   // An attempt ended: pushes its record.
   void OnAttempt(const core::AttemptRecord& record) override;
   // A call is established: it is reported at each interval until it ends.
-  void OnStands(const core::CallRecord& record) override;
+  void OnEstablished(const core::CallRecord& record) override;
   // A call ended: pushes its record.
   void OnCall(const core::CallRecord& record) override;
   // Number of calls in progress that are tracked.
