--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -1,5 +1,5 @@
-// The platform's protocol, of any octets: as lines, as the answer of the notice board, as a configuration. What is read
-// as a message and written again must read as the same.
+// Fuzzes the platform protocol: lines, responses of the discovery service, and configurations. A message that was
+// parsed and written must parse as the same message again.
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 
@@ -12,7 +12,7 @@
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   LineReader reader;
   const std::size_t half = size / 2;
-  const auto take = [](std::string_view line) {
+  const auto on_line = [](std::string_view line) {
     const auto message = ParseMessage(line);
     if (!message) return true;
     if (const std::string* const extras = message->Field("extras")) ParseExtras(*extras);
@@ -22,11 +22,11 @@
     if (!again || again->id != message->id || again->description != message->description) std::abort();
     return true;
   };
-  if (reader.Feed(text.substr(0, half), take)) reader.Feed(text.substr(half), take);
+  if (reader.Feed(text.substr(0, half), on_line)) reader.Feed(text.substr(half), on_line);
   EventReader events;
   const auto on_event = [](std::string_view, std::string_view event) {
-    std::string why;
-    ParseNotice(nlohmann::json::parse(event, nullptr, false), 0, &why);
+    std::string error;
+    ParseDirectoryNotification(nlohmann::json::parse(event, nullptr, false), 0, &error);
     return true;
   };
   if (events.Feed(text.substr(0, half), on_event)) events.Feed(text.substr(half), on_event);
--- a/src/edge/platform_main.cpp
+++ b/src/edge/platform_main.cpp
@@ -14,45 +14,45 @@
 namespace croftrun::edge {
 namespace {
 
-constexpr std::size_t kMostConfigBytes = 16U << 20U;
-// A file that cannot be read may be half written: it is read again, at these gaps, so many times.
-constexpr TimeUs kReadAgain = 100'000;
-constexpr int kMostReads = 50;
+constexpr std::size_t kMaxConfigOctets = 16U << 20U;
+// An invalid file may be half written, so it is read again: interval and maximum number of retries.
+constexpr TimeUs kReloadRetryInterval = 100'000;
+constexpr int kMaxReloadRetries = 50;
 
 std::string Environment(const char* name) {
   const char* const value = std::getenv(name);
   return value == nullptr ? std::string() : value;
 }
 
-platform::NodeConfig Read(const std::string& path, std::vector<config::Mistake>* mistakes) {
-  const std::string text = config::ReadFile(path, kMostConfigBytes, mistakes);
+platform::NodeConfig ReadConfig(const std::string& path, std::vector<config::Mistake>* mistakes) {
+  const std::string text = config::ReadFile(path, kMaxConfigOctets, mistakes);
   if (!mistakes->empty()) return {};
   return platform::ParseNodeConfig(text, Environment("GW_NAME"), Environment("GW_LISTEN"), mistakes);
 }
 
-// The process from its first moment on. Signals are caught before anything else is done and acted on from the loop,
-// which runs once the softswitch stands: one that comes during the start waits, and none is lost.
+// The softswitch process. Signal handlers are installed before anything else, and signals are handled by the event
+// loop, which runs once the softswitch has started. A signal during the start is therefore handled later and not lost.
 class Process {
  public:
   explicit Process(std::string path)
       : path_(std::move(path)),
-        again_(&runtime_),
-        reload_(runtime_.context(), {SIGHUP}, [this] { Reload(kMostReads); }),
-        stop_(runtime_.context(), {SIGTERM, SIGINT},
-              [this] {
-                // A second one changes nothing: what was taken is still answered.
-                if (!std::exchange(stopping_, true)) node_->Stop([this] { runtime_.Stop(); });
-              }),
-        tell_(runtime_.context(), {SIGUSR1},
-              [this] { log_->Write(core::LogLevel::kWarning, "metrics", 0, node_->Metrics()); }),
-        details_(runtime_.context(), {SIGUSR2},
-                 [this] { log_->SetLevel(log_->IsEnabled(core::LogLevel::kDebug) ? "info" : "debug"); }) {
+        reload_retry_timer_(&runtime_),
+        reload_signal_(runtime_.context(), {SIGHUP}, [this] { Reload(kMaxReloadRetries); }),
+        stop_signal_(runtime_.context(), {SIGTERM, SIGINT},
+                     [this] {
+                       // A repeated signal has no effect: accepted calls are still answered.
+                       if (!std::exchange(stopping_, true)) node_->Stop([this] { runtime_.Stop(); });
+                     }),
+        metrics_signal_(runtime_.context(), {SIGUSR1},
+                        [this] { log_->Write(core::LogLevel::kWarning, "metrics", 0, node_->Metrics()); }),
+        log_level_signal_(runtime_.context(), {SIGUSR2},
+                          [this] { log_->SetLevel(log_->IsEnabled(core::LogLevel::kDebug) ? "info" : "debug"); }) {
     std::signal(SIGPIPE, SIG_IGN);
   }
 
   int Run() {
     std::vector<config::Mistake> mistakes;
-    const platform::NodeConfig config = Read(path_, &mistakes);
+    const platform::NodeConfig config = ReadConfig(path_, &mistakes);
     if (!mistakes.empty()) {
       std::cerr << "croftrun-edge: " << path_ << ":\n" << config::ToString(mistakes);
       return 3;
@@ -69,24 +69,26 @@
   }
 
  private:
-  // Reads the configuration again; one at fault leaves that in force and is read again. A newer signal begins anew: the
-  // timer's owner holds one wait at a time, also when the former one is due in this very turn.
-  void Reload(int left) {
-    again_.Stop();
+  // Reloads the configuration. If it is invalid, the current one stays in force and the file is read again later. A
+  // newer signal restarts the sequence: the timer is stopped first, so at most one retry is pending, even if the former
+  // one is due in the same turn of the event loop.
+  void Reload(int retries_left) {
+    reload_retry_timer_.Stop();
     std::vector<config::Mistake> mistakes;
-    const platform::NodeConfig config = Read(path_, &mistakes);
+    const platform::NodeConfig config = ReadConfig(path_, &mistakes);
     if (mistakes.empty()) return node_->Reconfigure(config);
     log_->Write(core::LogLevel::kError, "configuration-kept", 0, config::ToString(mistakes));
-    if (left > 0) again_.Start(kReadAgain, [this, left] { Reload(left - 1); });
+    if (retries_left > 0)
+      reload_retry_timer_.Start(kReloadRetryInterval, [this, retries_left] { Reload(retries_left - 1); });
   }
 
   runtime::AsioRuntime runtime_;
   const std::string path_;
-  core::Timer again_;
+  core::Timer reload_retry_timer_;
   std::unique_ptr<JsonLog> log_;
   std::unique_ptr<platform::Node> node_;
   bool stopping_ = false;
-  Signals reload_, stop_, tell_, details_;
+  Signals reload_signal_, stop_signal_, metrics_signal_, log_level_signal_;
 };
 
 }  // namespace
--- a/src/edge/platform_main.h
+++ b/src/edge/platform_main.h
@@ -1,4 +1,4 @@
-// The edge in service on the users' platform: started by its environment, ended by its signals.
+// Runs the edge on the users' platform, configured by environment variables and controlled by signals.
 #ifndef CROFTRUN_EDGE_PLATFORM_MAIN_H_
 #define CROFTRUN_EDGE_PLATFORM_MAIN_H_
 
@@ -6,7 +6,7 @@
 
 namespace croftrun::edge {
 
-// Runs until it is told to stop; returns the exit code of the program. `path`: the configuration file.
+// Runs until a stop signal and returns the exit code. `path` is the configuration file.
 int RunOnPlatform(const std::string& path);
 
 }  // namespace croftrun::edge
--- a/src/platform/causes.h
+++ b/src/platform/causes.h
@@ -1,4 +1,4 @@
-// Cause values of ITU-T Q.850 as they stand in a message: those of the core, and the ones that only the platform uses.
+// Cause values of ITU-T Q.850 as they appear in messages: those of the core and those used only on the platform.
 #ifndef CROFTRUN_PLATFORM_CAUSES_H_
 #define CROFTRUN_PLATFORM_CAUSES_H_
 
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -1,4 +1,4 @@
-// The client of the notice board: one request whose answer never ends, read as server-sent events.
+// Client of the discovery service: sends one request and reads its unending response as server-sent events.
 #ifndef CROFTRUN_PLATFORM_DISCOVERY_CLIENT_H_
 #define CROFTRUN_PLATFORM_DISCOVERY_CLIENT_H_
 
@@ -14,43 +14,43 @@
 
 namespace croftrun::platform {
 
-// Server-sent events (the WHATWG's HTML standard, 9.2) in the body of an HTTP answer, as it arrives. Only whole events
-// are told: one that breaks off partway never was.
+// Parses server-sent events (WHATWG HTML standard, 9.2) in the body of an HTTP response as it arrives. Only complete
+// events are reported; an event that is cut off is discarded.
 class EventReader {
  public:
-  // `id` is empty where the event has none of its own.
-  // False: no more is wanted.
+  // Handles one event; `id` is empty if the event has none. Returns false to stop reading.
   using OnEvent = std::function<bool(std::string_view id, std::string_view data)>;
   EventReader();
   ~EventReader();
-  // False once nothing more can come of it: another status than 200, what is no HTTP, an event past all bounds.
+  // Returns false if the stream is of no further use: the status is not 200, the data is not HTTP, an event exceeds the
+  // size limit, or the handler returned false.
   bool Feed(std::string_view bytes, const OnEvent& on_event);
 
  private:
-  bool Line(std::string_view line, const OnEvent& on_event);
-  struct Http;
-  std::unique_ptr<Http> http_;
+  bool HandleLine(std::string_view line, const OnEvent& on_event);
+  struct HttpResponse;
+  std::unique_ptr<HttpResponse> http_response_;
   std::string line_, id_, data_;
-  bool after_return_ = false, has_data_ = false;
+  bool after_carriage_return_ = false, has_data_ = false;
 };
 
 struct DiscoveryCounters {
   std::uint64_t connects = 0, breaks = 0, silences = 0, gaps = 0, events = 0, repeated = 0, unreadable = 0;
 };
 
-// Follows the board: asks again after a break or a silence, with pauses that grow while it stays away, and tells each
-// notice once, in order.
+// Follows the directory of the discovery service. Reconnects after the connection was lost or has been silent, with
+// delays that grow while the service is unavailable, and reports each notification once and in order.
 class DiscoveryClient final : public core::StreamHandler {
  public:
-  using OnNotice = std::function<void(const Notice&)>;
-  // `last`: number of the last event that is known already.
-  DiscoveryClient(core::Runtime* runtime, core::Logger* log, const core::Address& address, std::uint64_t last,
-                  OnNotice on_notice);
-  // From now on at this address; the numbers carry on.
+  using OnNotification = std::function<void(const DirectoryNotification&)>;
+  // `last_number` is the number of the last event that has been applied already.
+  DiscoveryClient(core::Runtime* runtime, core::Logger* log, const core::Address& address, std::uint64_t last_number,
+                  OnNotification on_notification);
+  // Switches to another address; the event numbers continue.
   void MoveTo(const core::Address& address);
-  // `last` was heard by another way.
-  void Known(std::uint64_t last) { last_ = std::max(last_, last); }
-  std::uint64_t last() const { return last_; }
+  // Records that the events up to `last_number` were received in another way.
+  void AdvanceTo(std::uint64_t last_number) { last_number_ = std::max(last_number_, last_number); }
+  std::uint64_t last_number() const { return last_number_; }
   const core::Address& address() const { return address_; }
   const DiscoveryCounters& counters() const { return counters_; }
 
@@ -59,26 +59,26 @@
   void OnEnd(core::StreamEnd end) override;
 
  private:
-  void Ask();
-  void AskAgain();
-  void Watch();
-  // Ends the connection and asks again from the last number that holds.
-  void Break();
-  // True once for each number: what lies before it is missing and is asked for again.
-  bool AsksFor(std::uint64_t number);
-  // False: the connection has ended with it.
-  bool Take(std::string_view id, std::string_view data);
+  void Connect();
+  void ScheduleReconnect();
+  void RestartSilenceTimer();
+  // Closes the connection and requests the events after the last one that was applied.
+  void Reconnect();
+  // Returns true once for each number: the events from it on are missing and have to be requested again.
+  bool ShouldRequestMissing(std::uint64_t number);
+  // Returns false if the connection has to be closed.
+  bool HandleEvent(std::string_view id, std::string_view data);
 
   core::Runtime* runtime_;
   core::Logger* log_;
   core::Address address_;
-  std::uint64_t last_;
-  std::uint64_t asked_for_ = 0;  // the event that was taken for missing, asked for once
-  OnNotice on_notice_;
+  std::uint64_t last_number_;
+  std::uint64_t requested_number_ = 0;  // the missing event that was requested again, which is done once
+  OnNotification on_notification_;
   std::unique_ptr<core::Stream> stream_;
   std::unique_ptr<EventReader> reader_;
-  core::Timer again_, silence_;
-  TimeUs pause_ = 0;
+  core::Timer reconnect_timer_, silence_timer_;
+  TimeUs reconnect_delay_ = 0;
   DiscoveryCounters counters_;
 };
 
--- a/src/platform/exchange_connections.cpp
+++ b/src/platform/exchange_connections.cpp
@@ -11,25 +11,26 @@
 namespace croftrun::platform {
 namespace {
 
-// Pauses between tries to reach an exchange again.
-constexpr TimeUs kFirstPause = 20'000, kLongestPause = 1'000'000;
-// Set-ups given up whose late answer is still known for what it is.
-constexpr std::size_t kMostGivenUp = 2048;
-// Machines that are gone whose late word is still known for what it is.
-constexpr std::size_t kMostDeparted = 1024;
-// Releases that wait for a connection to one exchange.
-constexpr std::size_t kMostWaiting = 1024;
-// Ends of calls that are not known here, or not yet: a caller may still announce the call.
-constexpr std::size_t kMostEarlyEnds = 2048;
-// Connections for signs of life may go beyond the limit by so many: without one, calls that stand would be given up.
+// Delays between attempts to connect to an exchange.
+constexpr TimeUs kMinReconnectDelay = 20'000, kMaxReconnectDelay = 1'000'000;
+// Number of given-up set-ups that are remembered, to release the call if a late answer arrives.
+constexpr std::size_t kMaxGivenUpSetUps = 2048;
+// Number of removed exchanges that are remembered, to recognize late notifications about them.
+constexpr std::size_t kMaxForgottenExchanges = 1024;
+// Number of releases per exchange that are queued for the next connection.
+constexpr std::size_t kMaxQueuedReleases = 1024;
+// Number of releases of unknown calls that are remembered: a caller may still announce the call.
+constexpr std::size_t kMaxEarlyReleases = 2048;
+// Connections beyond the limit that may be opened for a sign of life: without one, established calls would be given up.
 constexpr std::size_t kLivenessReserve = 8;
-// After a call was announced, its exchange is asked for by its last report: others are announced at the same time.
-constexpr TimeUs kAnnouncedTogether = 500'000;
-// An exchange lives if one of its connections spoke within this time; fresh ones to it that do not come up are not
-// tried again for as long while there are others.
-constexpr TimeUs kSpokeLately = 1'000'000;
-// Idle connections to one exchange that are kept when one more came up for a sign of life.
-constexpr std::size_t kIdleKept = 2;
+// Delay from the announcement of a call to the check against the last report of its exchange. Other calls are announced
+// at the same time.
+constexpr TimeUs kAnnouncementWindow = 500'000;
+// An exchange is known to be alive if data arrived on one of its connections within this time. After a new connection
+// to such an exchange has failed, no further one is opened for as long while others can be used.
+constexpr TimeUs kRecentDataTime = 1'000'000;
+// Number of idle connections to one exchange that are kept when another one has been opened for a sign of life.
+constexpr std::size_t kKeptIdleConnections = 2;
 
 int IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::find(names.begin(), names.end(), name);
@@ -39,73 +40,74 @@
 }  // namespace
 
 struct ExchangeConnections::Exchange {
-  explicit Exchange(core::Runtime* runtime) : again(runtime), detector({}), check_announced(runtime) {}
-  bool InDoubt() const { return detector.suspected_since() != 0; }
+  explicit Exchange(core::Runtime* runtime) : reconnect_timer(runtime), detector({}), announced_check_timer(runtime) {}
+  bool IsSuspected() const { return detector.suspected_since() != 0; }
   ExchangeId id = 0;
   Target target;
   TimeUs since_us = 0;
-  bool retired = false;  // gone, or another has its address
-  std::list<std::unique_ptr<Link>> links;
-  std::unordered_set<std::string> standing;  // calls that stand here
-  std::string told;                          // the state of its group, as it was told last
-  std::optional<std::size_t> circuits_used;  // by that, where it tells
-  std::vector<std::string> waiting;          // releases for the next connection
-  core::Timer again;
-  TimeUs pause = 0;
-  TimeUs heard_at = 0;               // octets came, or a connection opened
-  TimeUs fresh_failed_at = 0;        // a connection did not come up though the exchange lives
-  bool unreachable = false;          // no connection is open, and the last one tried did not open: logged once
-  policy::FailureDetector detector;  // for as long as calls stand here
-  std::size_t announced = 0;         // of the calls that stand here
-  core::Timer check_announced;
+  bool is_retired = false;  // removed from the directory, or its address was taken over
+  std::list<std::unique_ptr<Connection>> connections;
+  std::unordered_set<std::string> established;  // ids of the established calls
+  std::string last_report;                      // text of the last report
+  std::optional<std::size_t> circuits_used;     // according to the last report, if it states them
+  std::vector<std::string> queued_releases;     // ids of calls to release on the next connection
+  core::Timer reconnect_timer;
+  TimeUs reconnect_delay = 0;
+  TimeUs last_sign_at = 0;           // when data last arrived or a connection was opened
+  TimeUs connect_failed_at = 0;      // when a connection failed although the exchange was alive
+  bool unreachable = false;          // no connection is open and the last attempt failed; logged once
+  policy::FailureDetector detector;  // used while there are established calls
+  std::size_t announced = 0;         // number of announced calls among the established ones
+  core::Timer announced_check_timer;
 };
 
-class ExchangeConnections::Link final : public core::StreamHandler {
+class ExchangeConnections::Connection final : public core::StreamHandler {
  public:
-  Link(ExchangeConnections* owner, Exchange* e) : exchange(e), owner_(owner) {}
+  Connection(ExchangeConnections* owner, Exchange* e) : exchange(e), owner_(owner) {}
 
   void OnOpen() override {
-    open = true;
+    is_open = true;
     opened_at = owner_->runtime_->Now();
-    exchange->pause = 0;
-    exchange->heard_at = opened_at;
-    const bool was_in_doubt = exchange->InDoubt();
-    exchange->detector.OnConnectionOpened(opened_at, exchange->standing.size());
-    owner_->LogDoubt(*exchange, was_in_doubt);
+    exchange->reconnect_delay = 0;
+    exchange->last_sign_at = opened_at;
+    const bool was_suspected = exchange->IsSuspected();
+    exchange->detector.OnConnectionOpened(opened_at, exchange->established.size());
+    owner_->LogSuspicionChange(*exchange, was_suspected);
     owner_->LogConnection(exchange->unreachable ? core::LogLevel::kInfo : core::LogLevel::kDebug, "exchange-connected",
-                          *this, std::to_string(exchange->waiting.size()) + " releases wait");
+                          *this, std::to_string(exchange->queued_releases.size()) + " releases queued");
     exchange->unreachable = false;
-    for (const std::string& id : std::exchange(exchange->waiting, {})) owner_->SendRelease(exchange, this, id);
-    owner_->CloseSpare(exchange);
+    for (const std::string& id : std::exchange(exchange->queued_releases, {})) owner_->SendRelease(exchange, this, id);
+    owner_->CloseSurplusConnection(exchange);
   }
   void OnBytes(std::string_view bytes) override {
-    silent = false;
-    heard_at = owner_->runtime_->Now();
-    exchange->heard_at = heard_at;
-    const bool was_in_doubt = exchange->InDoubt();
-    exchange->detector.OnDataReceived(heard_at, opened_at);
-    owner_->LogDoubt(*exchange, was_in_doubt);
-    // Taking a line may end other connections, never the one it came on.
-    if (reader.Feed(bytes, [this](std::string_view line) { return owner_->Take(this, line); })) return;
+    is_unresponsive = false;
+    last_data_at = owner_->runtime_->Now();
+    exchange->last_sign_at = last_data_at;
+    const bool was_suspected = exchange->IsSuspected();
+    exchange->detector.OnDataReceived(last_data_at, opened_at);
+    owner_->LogSuspicionChange(*exchange, was_suspected);
+    // Handling a line may end other connections, but never this one.
+    if (reader.Feed(bytes, [this](std::string_view line) { return owner_->HandleLine(this, line); })) return;
     ++owner_->counters_.spoilt;
-    owner_->EndLink(this, LinkEnd::kSpoilt);
+    owner_->EndConnection(this, DisconnectReason::kMalformed);
   }
   void OnEnd(core::StreamEnd end) override {
-    constexpr LinkEnd kEnds[] = {LinkEnd::kClosed, LinkEnd::kReset, LinkEnd::kRefused, LinkEnd::kNotUpInTime};
-    owner_->EndLink(this, kEnds[static_cast<std::size_t>(end)]);
+    constexpr DisconnectReason kEnds[] = {DisconnectReason::kClosed, DisconnectReason::kReset,
+                                          DisconnectReason::kRefused, DisconnectReason::kConnectTimeout};
+    owner_->EndConnection(this, kEnds[static_cast<std::size_t>(end)]);
   }
 
   Exchange* const exchange;
-  std::uint64_t number = 0;  // in the log
+  std::uint64_t number = 0;  // number in the log
   std::unique_ptr<core::Stream> stream;
-  std::list<std::unique_ptr<Link>>::iterator place;
-  TimeUs opened_at = 0, heard_at = 0;
-  TimeUs tested_at = 0;  // for a sign of life
-  bool open = false;
-  bool for_life = false;                     // opened as a sign of life: set-ups do not wait for it
-  bool silent = false;                       // a set-up was given up on it, and nothing has come since
-  std::unordered_set<std::string> set_ups;   // unanswered on it
-  std::unordered_set<std::string> standing;  // answered on it, and not over
+  std::list<std::unique_ptr<Connection>>::iterator position;
+  TimeUs opened_at = 0, last_data_at = 0;
+  TimeUs probed_at = 0;  // when it was last probed for a sign of life
+  bool is_open = false;
+  bool for_liveness = false;                // opened as a sign of life; set-ups are not queued on it until it is open
+  bool is_unresponsive = false;             // a set-up was given up on it and no data has arrived since
+  std::unordered_set<std::string> set_ups;  // ids of set-ups without an answer
+  std::unordered_set<std::string> established;  // ids of established calls that were answered on it
   LineReader reader;
 
  private:
@@ -118,31 +120,31 @@
       runtime_(runtime),
       log_(log),
       core_(core),
-      report_reader_(settings.figures, settings.own_circuits),
-      given_up_(kMostGivenUp),
-      departed_(kMostDeparted),
-      early_ends_(kMostEarlyEnds),
-      liveness_(runtime) {
-  WatchLiveness();
+      report_reader_(settings.report_fields, settings.own_circuits),
+      given_up_(kMaxGivenUpSetUps),
+      forgotten_exchanges_(kMaxForgottenExchanges),
+      early_releases_(kMaxEarlyReleases),
+      liveness_timer_(runtime) {
+  StartLivenessTimer();
 }
 
 ExchangeConnections::~ExchangeConnections() = default;
 
-std::string_view ExchangeConnections::NameOf(LinkEnd end) {
-  constexpr std::string_view kNames[] = {"closed", "reset", "refused", "not up in time", "spoilt", "closed here"};
-  return kNames[static_cast<std::size_t>(end)];
+std::string_view ExchangeConnections::NameOf(DisconnectReason reason) {
+  constexpr std::string_view kNames[] = {"closed", "reset", "refused", "timed out", "malformed", "closed locally"};
+  return kNames[static_cast<std::size_t>(reason)];
 }
 
-std::size_t ExchangeConnections::unreachable() const {
+std::size_t ExchangeConnections::unreachable_exchanges() const {
   return static_cast<std::size_t>(std::count_if(exchanges_.begin(), exchanges_.end(), [](const auto& item) {
-    return !item.second->retired && OpenOne(*item.second) == nullptr;
+    return !item.second->is_retired && NewestOpenConnection(*item.second) == nullptr;
   }));
 }
 
-std::size_t ExchangeConnections::standing_unreachable() const {
+std::size_t ExchangeConnections::calls_at_unreachable_exchanges() const {
   std::size_t calls = 0;
   for (const auto& [id, exchange] : exchanges_) {
-    if (OpenOne(*exchange) == nullptr) calls += exchange->standing.size();
+    if (NewestOpenConnection(*exchange) == nullptr) calls += exchange->established.size();
   }
   return calls;
 }
@@ -150,24 +152,25 @@
 TimeUs ExchangeConnections::longest_silence() const {
   TimeUs longest = 0;
   for (const auto& [id, exchange] : exchanges_) {
-    if (!exchange->standing.empty()) longest = std::max(longest, runtime_->Now() - exchange->heard_at);
+    if (!exchange->established.empty()) longest = std::max(longest, runtime_->Now() - exchange->last_sign_at);
   }
   return longest;
 }
 
-void ExchangeConnections::LogConnection(core::LogLevel level, std::string_view event, const Link& link,
+void ExchangeConnections::LogConnection(core::LogLevel level, std::string_view event, const Connection& connection,
                                         std::string_view detail) {
   if (!log_->IsEnabled(level)) return;
-  const Target& target = link.exchange->target;
-  std::string text = target.uid + " " + core::ToString(target.address) + " connection " + std::to_string(link.number);
+  const Target& target = connection.exchange->target;
+  std::string text =
+      target.uid + " " + core::ToString(target.address) + " connection " + std::to_string(connection.number);
   if (!detail.empty()) text.append(", ").append(detail);
   log_->Write(level, event, 0, text);
 }
 
-void ExchangeConnections::LogCall(std::string_view event, const Leg& leg, std::string_view detail) {
+void ExchangeConnections::LogCall(std::string_view event, const CallLeg& leg, std::string_view detail) {
   if (!log_->IsEnabled(core::LogLevel::kDebug)) return;
-  std::string text = leg.id + " attempt " + std::to_string(leg.attempt) + " at " + leg.at->target.uid;
-  if (leg.link != nullptr) text += " connection " + std::to_string(leg.link->number);
+  std::string text = leg.id + " attempt " + std::to_string(leg.attempt) + " at " + leg.exchange->target.uid;
+  if (leg.connection != nullptr) text += " connection " + std::to_string(leg.connection->number);
   if (!detail.empty()) text.append(", ").append(detail);
   log_->Write(core::LogLevel::kDebug, event, leg.call, text);
 }
@@ -175,15 +178,15 @@
 ExchangeId ExchangeConnections::Find(const std::string& uid) const {
   const auto found = by_uid_.find(uid);
   if (found == by_uid_.end()) return 0;
-  return exchanges_.at(found->second)->retired ? 0 : found->second;
+  return exchanges_.at(found->second)->is_retired ? 0 : found->second;
 }
 
-TimeUs ExchangeConnections::TimeOf(std::int64_t unix_ms) const {
+TimeUs ExchangeConnections::ToRuntimeTime(std::int64_t unix_ms) const {
   if (unix_ms == 0) return 0;
   return static_cast<TimeUs>(std::max<std::int64_t>(1, unix_ms * 1000 - settings_.unix_offset_us));
 }
 
-DirectoryEntry ExchangeConnections::EntryOf(const Exchange& exchange) const {
+DirectoryEntry ExchangeConnections::MakeDirectoryEntry(const Exchange& exchange) const {
   const Target& target = exchange.target;
   return {.exchange = exchange.id,
           .zone = IndexOf(settings_.zones, target.zone),
@@ -194,365 +197,380 @@
           .since_us = exchange.since_us};
 }
 
-bool ExchangeConnections::Superseded(ExchangeId before, const Target& target, TimeUs since) const {
+bool ExchangeConnections::IsSuperseded(ExchangeId before, const Target& target, TimeUs since) const {
   if (target.status == ExchangeStatus::kGone) return false;
-  const auto holder = by_address_.find(target.address);
-  if (holder == by_address_.end() || holder->second <= before) return false;
-  // Ids are given in the order in which machines were heard of; one that came back has a later start than its
-  // successor.
-  const auto newer = exchanges_.find(holder->second);
-  return newer != exchanges_.end() && !newer->second->retired && since <= newer->second->since_us;
+  const auto occupant = by_address_.find(target.address);
+  if (occupant == by_address_.end() || occupant->second <= before) return false;
+  // Ids are assigned in the order in which exchanges become known. An exchange that comes back has a later start time
+  // than its successor.
+  const auto newer = exchanges_.find(occupant->second);
+  return newer != exchanges_.end() && !newer->second->is_retired && since <= newer->second->since_us;
 }
 
-void ExchangeConnections::OnNotice(const Notice& notice) {
+void ExchangeConnections::OnDirectoryNotification(const DirectoryNotification& notification) {
   DirectoryUpdate update;
-  update.kind = notice.whole ? DirectoryKind::kFull : DirectoryKind::kDelta;
-  update.version = static_cast<std::uint32_t>(notice.number);
+  update.kind = notification.is_full ? DirectoryKind::kFull : DirectoryKind::kDelta;
+  update.version = static_cast<std::uint32_t>(notification.number);
   std::vector<Exchange*> gone, restarted;
   std::unordered_set<std::string> named;
-  for (const Target& target : notice.targets) {
+  for (const Target& target : notification.targets) {
     named.insert(target.uid);
-    const TimeUs since = TimeOf(target.boot_ms);
+    const TimeUs since = ToRuntimeTime(target.boot_ms);
     auto& id = by_uid_[target.uid];
     if (id == 0) {
-      if (departed_.Has(target.uid) && Superseded(0, target, since)) {
-        by_uid_.erase(target.uid);  // late word of one that is forgotten
+      if (forgotten_exchanges_.Contains(target.uid) && IsSuperseded(0, target, since)) {
+        by_uid_.erase(target.uid);  // late notification about a forgotten exchange
         continue;
       }
       if (target.status == ExchangeStatus::kGone) {
-        by_uid_.erase(target.uid);  // one that this softswitch never knew
+        by_uid_.erase(target.uid);  // never known to this softswitch
         continue;
       }
-      id = next_++;
+      id = next_exchange_id_++;
       exchanges_[id] = std::make_unique<Exchange>(runtime_);
       exchanges_[id]->id = id;
-      exchanges_[id]->heard_at = runtime_->Now();
-      exchanges_[id]->detector.SetDecisionDeadline(settle_by_);
+      exchanges_[id]->last_sign_at = runtime_->Now();
+      exchanges_[id]->detector.SetDecisionDeadline(decision_deadline_);
     }
     Exchange& e = *exchanges_.at(id);
-    if (Superseded(id, target, since)) {
-      // Word of a machine whose address a newer one has by now: late, whatever it says. It takes nothing back.
+    if (IsSuperseded(id, target, since)) {
+      // A newer exchange has taken over the address, so this notification is late and is treated as a removal whatever
+      // its state.
       e.target.status = ExchangeStatus::kGone;
-      update.entries.push_back(EntryOf(e));
+      update.entries.push_back(MakeDirectoryEntry(e));
       gone.push_back(&e);
       continue;
     }
     if (since > e.since_us && e.since_us != 0) restarted.push_back(&e);
-    const core::Address before = e.target.address;
+    const core::Address previous = e.target.address;
     e.target = target;
-    if (target.status == ExchangeStatus::kGone && target.address == core::Address{}) e.target.address = before;
+    if (target.status == ExchangeStatus::kGone && target.address == core::Address{}) e.target.address = previous;
     e.since_us = since;
-    update.entries.push_back(EntryOf(e));
+    update.entries.push_back(MakeDirectoryEntry(e));
     if (target.status == ExchangeStatus::kGone) {
       gone.push_back(&e);
       continue;
     }
-    e.retired = false;
-    const auto [holder, fresh] = by_address_.try_emplace(e.target.address, id);
-    if (!fresh && holder->second != id) {
-      // A new machine at the address of an old one: the old one is gone, whatever its own notice will say when.
-      const auto old = exchanges_.find(holder->second);
+    e.is_retired = false;
+    const auto [occupant, opened] = by_address_.try_emplace(e.target.address, id);
+    if (!opened && occupant->second != id) {
+      // A new exchange has the address of an older one, so the older one is gone, even if its own notification arrives
+      // later.
+      const auto old = exchanges_.find(occupant->second);
       if (old != exchanges_.end() && old->first < id) {
         old->second->target.status = ExchangeStatus::kGone;
-        update.entries.push_back(EntryOf(*old->second));
+        update.entries.push_back(MakeDirectoryEntry(*old->second));
         gone.push_back(old->second.get());
       }
-      holder->second = id;
+      occupant->second = id;
     }
   }
-  if (notice.whole) {
+  if (notification.is_full) {
     for (auto& [id, e] : exchanges_) {
       if (named.count(e->target.uid) == 0) gone.push_back(e.get());
     }
   }
   core_->OnDirectory(update);
-  for (Exchange* const e : restarted) CutAll(e, e->since_us, "started again");
-  for (Exchange* const e : gone) Retire(e);
+  for (Exchange* const e : restarted) TerminateCallsBefore(e, e->since_us, "exchange restarted");
+  for (Exchange* const e : gone) RetireExchange(e);
   for (auto& [id, e] : exchanges_) {
-    if (!e->retired) KeepConnected(e.get());
+    if (!e->is_retired) EnsureConnected(e.get());
   }
-  // What is retired and holds nothing any more is forgotten.
+  // Forgets removed exchanges without connections and calls.
   std::erase_if(exchanges_, [this](const auto& item) {
     Exchange& e = *item.second;
-    if (!e.retired || !e.links.empty() || !e.standing.empty()) return false;
+    if (!e.is_retired || !e.connections.empty() || !e.established.empty()) return false;
     by_uid_.erase(e.target.uid);
-    departed_.Note(e.target.uid);
+    forgotten_exchanges_.Insert(e.target.uid);
     return true;
   });
 }
 
-void ExchangeConnections::Retire(Exchange* exchange) {
-  exchange->retired = true;
-  exchange->again.Stop();
-  exchange->waiting.clear();
-  if (const auto holder = by_address_.find(exchange->target.address);
-      holder != by_address_.end() && holder->second == exchange->id)
-    by_address_.erase(holder);
-  CutAll(exchange, runtime_->Now() + 1, "gone from the list");
-  // Connections with a set-up out wait for its end.
-  std::vector<Link*> idle;
-  for (const auto& link : exchange->links) {
-    if (link->set_ups.empty()) idle.push_back(link.get());
+void ExchangeConnections::RetireExchange(Exchange* exchange) {
+  exchange->is_retired = true;
+  exchange->reconnect_timer.Stop();
+  exchange->queued_releases.clear();
+  if (const auto occupant = by_address_.find(exchange->target.address);
+      occupant != by_address_.end() && occupant->second == exchange->id)
+    by_address_.erase(occupant);
+  TerminateCallsBefore(exchange, runtime_->Now() + 1, "removed from the directory");
+  // Connections with pending set-ups stay open until those are finished.
+  std::vector<Connection*> idle;
+  for (const auto& connection : exchange->connections) {
+    if (connection->set_ups.empty()) idle.push_back(connection.get());
   }
-  for (Link* const link : idle) EndLink(link, LinkEnd::kClosedHere);
+  for (Connection* const connection : idle) EndConnection(connection, DisconnectReason::kClosedLocally);
 }
 
-void ExchangeConnections::CutAll(Exchange* exchange, TimeUs before, std::string_view why, Remains remains) {
+void ExchangeConnections::TerminateCallsBefore(Exchange* exchange, TimeUs before, std::string_view why,
+                                               RemoteState remote_state) {
   std::vector<std::string> ids;
-  for (const std::string& id : exchange->standing) {
-    if (legs_.at(id).stood_at < before) ids.push_back(id);
+  for (const std::string& id : exchange->established) {
+    if (call_legs_.at(id).established_at < before) ids.push_back(id);
   }
-  Cut(exchange, std::move(ids), why, remains);
+  TerminateCalls(exchange, std::move(ids), why, remote_state);
 }
 
-void ExchangeConnections::Cut(Exchange* exchange, std::vector<std::string> ids, std::string_view why, Remains remains) {
+void ExchangeConnections::TerminateCalls(Exchange* exchange, std::vector<std::string> ids, std::string_view why,
+                                         RemoteState remote_state) {
   std::sort(ids.begin(), ids.end());
   if (!ids.empty()) {
     ++counters_.lost_exchanges;
     log_->Write(core::LogLevel::kInfo, "exchange-lost", 0,
-                exchange->target.uid + " " + std::string(why) + ", calls cut: " + std::to_string(ids.size()) +
-                    ", silent for " + std::to_string((runtime_->Now() - exchange->heard_at) / 1000) + " ms");
+                exchange->target.uid + " " + std::string(why) + ", calls terminated: " + std::to_string(ids.size()) +
+                    ", no sign of life for " + std::to_string((runtime_->Now() - exchange->last_sign_at) / 1000) +
+                    " ms");
   }
   for (const std::string& id : ids) {
-    const auto found = legs_.find(id);
-    if (found == legs_.end()) continue;
+    const auto found = call_legs_.find(id);
+    if (found == call_legs_.end()) continue;
     LogCall("call-cut", found->second, why);
-    const Leg leg = Remove(found);
+    const CallLeg leg = RemoveCallLeg(found);
     ++counters_.cut_with_exchange;
-    if (remains == Remains::kMayStand) SendRelease(exchange, nullptr, id);
+    if (remote_state == RemoteState::kCallsMayExist) SendRelease(exchange, nullptr, id);
     core_->OnTrunkReleased(leg.call, leg.attempt, {core::ReleaseCause::kTemporaryFailure});
   }
 }
 
-void ExchangeConnections::SettleBy(TimeUs at) {
-  settle_by_ = at;
+void ExchangeConnections::SetDecisionDeadline(TimeUs at) {
+  decision_deadline_ = at;
   for (const auto& [id, exchange] : exchanges_) exchange->detector.SetDecisionDeadline(at);
 }
 
-void ExchangeConnections::WatchLiveness() {
-  liveness_.Start(policy::kLivenessCheckInterval, [this] {
+void ExchangeConnections::StartLivenessTimer() {
+  liveness_timer_.Start(policy::kLivenessCheckInterval, [this] {
     for (const auto& [id, exchange] : exchanges_) {
-      if (exchange->standing.empty() || exchange->retired) continue;
+      if (exchange->established.empty() || exchange->is_retired) continue;
       policy::FailureDetector& detector = exchange->detector;
-      const bool was_in_doubt = exchange->InDoubt();
-      if (detector.HasPendingDenial() && exchange->circuits_used.value_or(0) >= exchange->standing.size())
+      const bool was_suspected = exchange->IsSuspected();
+      if (detector.HasPendingDenial() && exchange->circuits_used.value_or(0) >= exchange->established.size())
         detector.OnAllCallsAccountedFor(runtime_->Now());
-      const bool holder_open = std::any_of(exchange->links.begin(), exchange->links.end(), [&](const auto& link) {
-        return link->open && detector.IsHolderConnection(link->opened_at);
-      });
+      const bool holder_open =
+          std::any_of(exchange->connections.begin(), exchange->connections.end(), [&](const auto& connection) {
+            return connection->is_open && detector.IsHolderConnection(connection->opened_at);
+          });
       const policy::LivenessAction action = detector.NextAction(runtime_->Now(), settings_.may_probe, holder_open);
-      LogDoubt(*exchange, was_in_doubt);
+      LogSuspicionChange(*exchange, was_suspected);
       if (detector.IsUnreachable(runtime_->Now())) core_->OnUnreachable(id);
-      Act(exchange.get(), action);
+      ExecuteLivenessAction(exchange.get(), action);
     }
-    WatchLiveness();
+    StartLivenessTimer();
   });
 }
 
-void ExchangeConnections::Act(Exchange* exchange, policy::LivenessAction action) {
+void ExchangeConnections::ExecuteLivenessAction(Exchange* exchange, policy::LivenessAction action) {
   const TimeUs now = runtime_->Now();
   switch (action) {
     case policy::LivenessAction::kNone:
       return;
     case policy::LivenessAction::kConnect:
       ++counters_.liveness_connects;
-      OpenLink(exchange, Purpose::kSignOfLife);
+      OpenConnection(exchange, Purpose::kSignOfLife);
       return;
     case policy::LivenessAction::kProbeHolder:
-      return ProbeForLife(LeastRecentlyTested(*exchange));
+      return SendLivenessProbe(LeastRecentlyProbed(*exchange));
     case policy::LivenessAction::kProbeNewest:
-      return ProbeForLife(OpenOne(*exchange));
+      return SendLivenessProbe(NewestOpenConnection(*exchange));
     case policy::LivenessAction::kGiveUpSilent:
       ++counters_.given_up_silent;
-      CutAll(exchange, now + 1, "gives no sign of life", Remains::kMayStand);
+      TerminateCallsBefore(exchange, now + 1, "gives no sign of life", RemoteState::kCallsMayExist);
       return exchange->detector.OnCallsGivenUp();
     case policy::LivenessAction::kGiveUpReplaced:
       return exchange->detector.HasPendingDenial()
-                 ? GiveUpReplaced(exchange, "its circuits are free, it does not know the calls", Remains::kMayStand)
-                 : GiveUpReplaced(exchange, "its process may have been replaced", Remains::kMayStand);
+                 ? GiveUpSuspectedCalls(exchange, "its circuits are free, so it does not know the calls",
+                                        RemoteState::kCallsMayExist)
+                 : GiveUpSuspectedCalls(exchange, "its process may have been replaced", RemoteState::kCallsMayExist);
   }
 }
 
-ExchangeConnections::Link* ExchangeConnections::LeastRecentlyTested(const Exchange& exchange) {
-  Link* best = nullptr;
-  for (const auto& link : exchange.links) {
-    if (!link->open || !exchange.detector.IsHolderConnection(link->opened_at)) continue;
-    if (best == nullptr || link->tested_at < best->tested_at) best = link.get();
+ExchangeConnections::Connection* ExchangeConnections::LeastRecentlyProbed(const Exchange& exchange) {
+  Connection* best = nullptr;
+  for (const auto& connection : exchange.connections) {
+    if (!connection->is_open || !exchange.detector.IsHolderConnection(connection->opened_at)) continue;
+    if (best == nullptr || connection->probed_at < best->probed_at) best = connection.get();
   }
   return best;
 }
 
-void ExchangeConnections::ProbeForLife(Link* link) {
-  if (link == nullptr) return;
+void ExchangeConnections::SendLivenessProbe(Connection* connection) {
+  if (connection == nullptr) return;
   ++counters_.liveness_probes;
-  link->tested_at = runtime_->Now();
-  SendProbe(link);
+  connection->probed_at = runtime_->Now();
+  SendProbe(connection);
 }
 
-policy::CircuitUse ExchangeConnections::CircuitUseOf(const Exchange& exchange, TimeUs in_question) const {
-  policy::CircuitUse use{.used = *exchange.circuits_used, .established = exchange.standing.size()};
+policy::CircuitUse ExchangeConnections::ComputeCircuitUse(const Exchange& exchange, TimeUs established_before) const {
+  policy::CircuitUse use{.used = *exchange.circuits_used, .established = exchange.established.size()};
   const TimeUs now = runtime_->Now();
-  for (const std::string& id : exchange.standing) {
-    const Leg& leg = legs_.at(id);
-    if (leg.StoodBefore(in_question)) {
+  for (const std::string& id : exchange.established) {
+    const CallLeg& leg = call_legs_.at(id);
+    if (leg.WasEstablishedBefore(established_before)) {
       ++use.in_question;
       use.announced += leg.announced ? 1 : 0;
-    } else if (now < leg.stood_at + policy::kCallSettlingTime) {
+    } else if (now < leg.established_at + policy::kCallSettlingTime) {
       ++use.unsettled;
     }
   }
-  for (const auto& link : exchange.links) use.pending += link->set_ups.size();
+  for (const auto& connection : exchange.connections) use.pending += connection->set_ups.size();
   return use;
 }
 
-void ExchangeConnections::CheckCircuits(const Link& link) {
-  Exchange* const exchange = link.exchange;
-  if (!exchange->circuits_used || exchange->standing.empty()) return;
+void ExchangeConnections::CheckCircuitReport(const Connection& connection) {
+  Exchange* const exchange = connection.exchange;
+  if (!exchange->circuits_used || exchange->established.empty()) return;
   policy::FailureDetector& detector = exchange->detector;
-  const bool was_in_doubt = exchange->InDoubt();
-  // Most reports come while nothing is the matter: they are not looked at call by call.
-  if (!was_in_doubt && !detector.HasPendingDenial() && *exchange->circuits_used >= exchange->standing.size()) return;
-  const policy::CircuitUse use = CircuitUseOf(*exchange, detector.CallsInQuestionBefore(link.opened_at));
-  if (detector.OnCircuitReport(runtime_->Now(), link.opened_at, use))
-    return GiveUpReplaced(exchange, "its process was replaced, as its circuits are free", Remains::kNothing);
-  LogDoubt(*exchange, was_in_doubt);
+  const bool was_suspected = exchange->IsSuspected();
+  // Most reports arrive without any suspicion and are not compared call by call.
+  if (!was_suspected && !detector.HasPendingDenial() && *exchange->circuits_used >= exchange->established.size())
+    return;
+  const policy::CircuitUse use = ComputeCircuitUse(*exchange, detector.CallsInQuestionBefore(connection.opened_at));
+  if (detector.OnCircuitReport(runtime_->Now(), connection.opened_at, use))
+    return GiveUpSuspectedCalls(exchange, "its process was replaced: its circuits are free", RemoteState::kCallsGone);
+  LogSuspicionChange(*exchange, was_suspected);
 }
 
-void ExchangeConnections::GiveUpReplaced(Exchange* exchange, std::string_view why, Remains remains) {
+void ExchangeConnections::GiveUpSuspectedCalls(Exchange* exchange, std::string_view why, RemoteState remote_state) {
   ++counters_.given_up_replaced;
   std::vector<std::string> ids;
-  for (const std::string& id : exchange->standing) {
-    if (legs_.at(id).StoodBefore(exchange->detector.give_up_before())) ids.push_back(id);
+  for (const std::string& id : exchange->established) {
+    if (call_legs_.at(id).WasEstablishedBefore(exchange->detector.give_up_before())) ids.push_back(id);
   }
-  Cut(exchange, std::move(ids), why, remains);
+  TerminateCalls(exchange, std::move(ids), why, remote_state);
   exchange->detector.OnCallsGivenUp();
 }
 
-void ExchangeConnections::CheckAnnounced(Exchange* exchange) {
+void ExchangeConnections::CheckAnnouncedCalls(Exchange* exchange) {
   if (exchange->announced == 0 || !exchange->circuits_used) return;
   if (!policy::DeniesMostCalls({.used = *exchange->circuits_used,
-                                .established = exchange->standing.size(),
-                                .in_question = exchange->standing.size()}))
+                                .established = exchange->established.size(),
+                                .in_question = exchange->established.size()}))
     return;
   std::vector<std::string> ids;
-  for (const std::string& id : exchange->standing) {
-    if (legs_.at(id).announced) ids.push_back(id);
+  for (const std::string& id : exchange->established) {
+    if (call_legs_.at(id).announced) ids.push_back(id);
   }
-  Cut(exchange, std::move(ids), "its circuits are free, it does not know the calls that were announced",
-      Remains::kNothing);
+  TerminateCalls(exchange, std::move(ids), "its circuits are free, so it does not know the announced calls",
+                 RemoteState::kCallsGone);
 }
 
-void ExchangeConnections::LogDoubt(const Exchange& exchange, bool was_in_doubt) {
-  if (exchange.InDoubt() == was_in_doubt) return;
-  ++(was_in_doubt ? counters_.doubts_cleared : counters_.doubts);
-  log_->Write(core::LogLevel::kInfo, was_in_doubt ? "exchange-confirmed" : "exchange-doubtful", 0,
-              exchange.target.uid + ", calls standing there " + std::to_string(exchange.standing.size()));
+void ExchangeConnections::LogSuspicionChange(const Exchange& exchange, bool was_suspected) {
+  if (exchange.IsSuspected() == was_suspected) return;
+  ++(was_suspected ? counters_.suspicions_cleared : counters_.suspicions);
+  log_->Write(core::LogLevel::kInfo, was_suspected ? "exchange-confirmed" : "exchange-doubtful", 0,
+              exchange.target.uid + ", established calls " + std::to_string(exchange.established.size()));
 }
 
-bool ExchangeConnections::MakeRoom(const Exchange* wanted) {
-  Link* spare = nullptr;
+bool ExchangeConnections::CloseIdleConnectionElsewhere(const Exchange* wanted) {
+  Connection* candidate = nullptr;
   for (const auto& [id, exchange] : exchanges_) {
-    if (exchange.get() == wanted || exchange->links.size() < 2 || exchange->InDoubt()) continue;
-    for (const auto& link : exchange->links) {
-      if (!link->open || !link->set_ups.empty()) continue;
-      if (spare == nullptr || link->heard_at < spare->heard_at) spare = link.get();
+    if (exchange.get() == wanted || exchange->connections.size() < 2 || exchange->IsSuspected()) continue;
+    for (const auto& connection : exchange->connections) {
+      if (!connection->is_open || !connection->set_ups.empty()) continue;
+      if (candidate == nullptr || connection->last_data_at < candidate->last_data_at) candidate = connection.get();
     }
   }
-  if (spare == nullptr) return false;
-  EndLink(spare, LinkEnd::kClosedHere);
+  if (candidate == nullptr) return false;
+  EndConnection(candidate, DisconnectReason::kClosedLocally);
   return true;
 }
 
-void ExchangeConnections::CloseSpare(Exchange* exchange) {
-  // In doubt the old ones are what can end it.
+void ExchangeConnections::CloseSurplusConnection(Exchange* exchange) {
+  // During a suspicion the older connections are kept, because data on them can clear it.
   const policy::FailureDetector& detector = exchange->detector;
-  if (exchange->InDoubt()) return;
-  std::vector<Link*> idle;
-  for (const auto& link : exchange->links) {
-    if (detector.IsProbingHolder() && detector.IsHolderConnection(link->opened_at)) continue;
-    if (link->open && link->set_ups.empty()) idle.push_back(link.get());
-  }
-  if (idle.size() <= kIdleKept) return;
-  // The least lately heard one may be forgotten at the far end. One at a time: each sign of life brings one.
-  const auto stale = std::min_element(idle.begin(), idle.end() - 1, [](const Link* a, const Link* b) {
-    return std::max(a->heard_at, a->opened_at) < std::max(b->heard_at, b->opened_at);
+  if (exchange->IsSuspected()) return;
+  std::vector<Connection*> idle;
+  for (const auto& connection : exchange->connections) {
+    if (detector.IsProbingHolder() && detector.IsHolderConnection(connection->opened_at)) continue;
+    if (connection->is_open && connection->set_ups.empty()) idle.push_back(connection.get());
+  }
+  if (idle.size() <= kKeptIdleConnections) return;
+  // The connection without data for the longest time may have been dropped by the network. Closes one at a time, as
+  // each sign of life opens only one.
+  const auto stale = std::min_element(idle.begin(), idle.end() - 1, [](const Connection* a, const Connection* b) {
+    return std::max(a->last_data_at, a->opened_at) < std::max(b->last_data_at, b->opened_at);
   });
-  if (runtime_->Now() >= std::max((*stale)->heard_at, (*stale)->opened_at) + policy::kLivenessConnectTimeout)
-    EndLink(*stale, LinkEnd::kClosedHere);
+  if (runtime_->Now() >= std::max((*stale)->last_data_at, (*stale)->opened_at) + policy::kLivenessConnectTimeout)
+    EndConnection(*stale, DisconnectReason::kClosedLocally);
 }
 
-ExchangeConnections::Link* ExchangeConnections::OpenLink(Exchange* exchange, Purpose purpose) {
-  const bool for_life = purpose == Purpose::kSignOfLife;
-  const std::size_t most = settings_.most_links + (for_life ? kLivenessReserve : 0);
-  if (link_count_ >= most && (purpose == Purpose::kSetUp || !MakeRoom(exchange))) {
+ExchangeConnections::Connection* ExchangeConnections::OpenConnection(Exchange* exchange, Purpose purpose) {
+  const bool for_liveness = purpose == Purpose::kSignOfLife;
+  const std::size_t max_connections = settings_.max_connections + (for_liveness ? kLivenessReserve : 0);
+  if (connection_count_ >= max_connections && (purpose == Purpose::kSetUp || !CloseIdleConnectionElsewhere(exchange))) {
     ++counters_.no_room;
     return nullptr;
   }
   ++counters_.connects;
-  ++link_count_;
-  exchange->links.push_back(std::make_unique<Link>(this, exchange));
-  Link* const link = exchange->links.back().get();
-  link->place = std::prev(exchange->links.end());
-  link->number = ++last_link_number_;
-  link->for_life = for_life;
-  const TimeUs within =
-      for_life ? std::max(policy::kLivenessConnectTimeout, settings_.connect_within_us) : settings_.connect_within_us;
-  link->stream = runtime_->Connect(exchange->target.address, within, link);
-  return link;
-}
-
-void ExchangeConnections::KeepConnected(Exchange* exchange) {
-  if (exchange->retired || !exchange->links.empty() || exchange->again.Running()) return;
-  const TimeUs pause = exchange->pause;
-  exchange->pause = std::clamp(2 * pause, kFirstPause, kLongestPause);
-  if (pause == 0 && OpenLink(exchange, Purpose::kKeep) != nullptr) return;
-  // Also where there was no room: it is tried again.
-  exchange->again.Start(std::max(pause, kFirstPause), [this, exchange] {
-    if (exchange->links.empty() && OpenLink(exchange, Purpose::kKeep) == nullptr) KeepConnected(exchange);
+  ++connection_count_;
+  exchange->connections.push_back(std::make_unique<Connection>(this, exchange));
+  Connection* const connection = exchange->connections.back().get();
+  connection->position = std::prev(exchange->connections.end());
+  connection->number = ++last_connection_number_;
+  connection->for_liveness = for_liveness;
+  const TimeUs timeout = for_liveness ? std::max(policy::kLivenessConnectTimeout, settings_.connect_timeout_us)
+                                      : settings_.connect_timeout_us;
+  connection->stream = runtime_->Connect(exchange->target.address, timeout, connection);
+  return connection;
+}
+
+void ExchangeConnections::EnsureConnected(Exchange* exchange) {
+  if (exchange->is_retired || !exchange->connections.empty() || exchange->reconnect_timer.Running()) return;
+  const TimeUs delay = exchange->reconnect_delay;
+  exchange->reconnect_delay = std::clamp(2 * delay, kMinReconnectDelay, kMaxReconnectDelay);
+  if (delay == 0 && OpenConnection(exchange, Purpose::kKeepConnected) != nullptr) return;
+  // If the connection limit is reached, this is tried again later.
+  exchange->reconnect_timer.Start(std::max(delay, kMinReconnectDelay), [this, exchange] {
+    if (exchange->connections.empty() && OpenConnection(exchange, Purpose::kKeepConnected) == nullptr)
+      EnsureConnected(exchange);
   });
 }
 
-ExchangeConnections::Link* ExchangeConnections::LinkFor(Exchange* exchange) {
-  Link* best = nullptr;
-  // One on which a set-up was lost may be one behind which nobody listens any more: the others first. Not a fresh one
-  // for it: where the whole way is cut that does not come up, and the module takes the exchange for one that died. Of
-  // those that rest, the one heard last: a connection that rested long may be forgotten at the far end.
-  const auto rank = [](const Link& link) {
-    return std::make_tuple(link.silent, link.set_ups.size(), !link.open, ~std::max(link.heard_at, link.opened_at));
+ExchangeConnections::Connection* ExchangeConnections::SelectConnection(Exchange* exchange) {
+  Connection* best = nullptr;
+  // A connection on which a set-up was lost may lead to a process that no longer reads, so the others come first. It is
+  // not avoided by opening a new connection: if the network path is down, the new one fails and the decision module
+  // takes the exchange for dead. Among idle connections the one with the latest data is preferred, because the network
+  // may have dropped one that was idle for long.
+  const auto rank = [](const Connection& connection) {
+    return std::make_tuple(connection.is_unresponsive, connection.set_ups.size(), !connection.is_open,
+                           ~std::max(connection.last_data_at, connection.opened_at));
   };
-  for (const auto& link : exchange->links) {
-    if (link->for_life && !link->open) continue;
-    if (best == nullptr || rank(*link) < rank(*best)) best = link.get();
+  for (const auto& connection : exchange->connections) {
+    if (connection->for_liveness && !connection->is_open) continue;
+    if (best == nullptr || rank(*connection) < rank(*best)) best = connection.get();
   }
   if (best != nullptr && best->set_ups.empty()) return best;
-  const bool fresh_fails = exchange->fresh_failed_at != 0 && runtime_->Now() < exchange->fresh_failed_at + kSpokeLately;
-  if (fresh_fails && best != nullptr && best->open && !best->silent) {
+  const bool connects_fail =
+      exchange->connect_failed_at != 0 && runtime_->Now() < exchange->connect_failed_at + kRecentDataTime;
+  if (connects_fail && best != nullptr && best->is_open && !best->is_unresponsive) {
     ++counters_.shared;
     return best;
   }
-  const std::size_t share = settings_.most_links / std::max<std::size_t>(1, by_address_.size());
-  if (!exchange->retired && exchange->links.size() < std::max<std::size_t>(1, share)) {
-    if (Link* const fresh = OpenLink(exchange, Purpose::kSetUp)) return fresh;
+  const std::size_t share = settings_.max_connections / std::max<std::size_t>(1, by_address_.size());
+  if (!exchange->is_retired && exchange->connections.size() < std::max<std::size_t>(1, share)) {
+    if (Connection* const opened = OpenConnection(exchange, Purpose::kSetUp)) return opened;
   }
   if (best != nullptr && !best->set_ups.empty()) ++counters_.shared;
   return best;
 }
 
-bool ExchangeConnections::Lives(const Exchange& exchange) const {
+bool ExchangeConnections::IsKnownAlive(const Exchange& exchange) const {
   const TimeUs now = runtime_->Now();
-  return std::any_of(exchange.links.begin(), exchange.links.end(), [now](const auto& link) {
-    return link->open && !link->stream->PeerClosed() && now < std::max(link->heard_at, link->opened_at) + kSpokeLately;
+  return std::any_of(exchange.connections.begin(), exchange.connections.end(), [now](const auto& connection) {
+    return connection->is_open && !connection->stream->PeerClosed() &&
+           now < std::max(connection->last_data_at, connection->opened_at) + kRecentDataTime;
   });
 }
 
 void ExchangeConnections::SetUp(const core::TrunkSetUp& set_up) {
   const CallId call = set_up.set.call;
   const auto found = exchanges_.find(set_up.to);
-  Link* const link = found == exchanges_.end() ? nullptr : LinkFor(found->second.get());
+  Connection* const connection = found == exchanges_.end() ? nullptr : SelectConnection(found->second.get());
   const std::string& id = set_up.offer->calling;
-  if (link == nullptr || legs_.count(id) > 0) {
+  if (connection == nullptr || call_legs_.count(id) > 0) {
     ++counters_.never_ran;
-    return core_->OnTrunkReleased(call, set_up.attempt, InfoOf(kNeverRan, core::ReleaseCause::kOutOfOrder));
+    return core_->OnTrunkReleased(call, set_up.attempt,
+                                  MakeReleaseInfo(kNotConnected, core::ReleaseCause::kOutOfOrder));
   }
   Message message{.type = MessageType::kSetUp, .id = id, .description = set_up.offer->session};
   message.fields.emplace_back("class", settings_.classes.at(static_cast<std::size_t>(set_up.offer->call_class)));
@@ -560,130 +578,135 @@
   message.fields.emplace_back("left", std::to_string(set_up.budget_us / 1000));
   const std::string line = WriteMessage(message);
   if (line.empty()) {
-    return core_->OnTrunkReleased(call, set_up.attempt,
-                                  InfoOf({Outcome::kError, RejectCause::kNone}, core::ReleaseCause::kTemporaryFailure));
+    return core_->OnTrunkReleased(
+        call, set_up.attempt,
+        MakeReleaseInfo({Outcome::kError, RejectCause::kNone}, core::ReleaseCause::kTemporaryFailure));
   }
   ++counters_.set_ups;
-  const Leg& leg = legs_[id] = {call, set_up.attempt, found->second.get(), link, false, 0, id};
+  const CallLeg& leg = call_legs_[id] = {call, set_up.attempt, found->second.get(), connection, false, 0, id};
   LogCall("set-up-sent", leg, std::to_string(set_up.budget_us / 1000) + " ms left");
-  ids_[call] = id;
-  link->set_ups.insert(id);
-  link->stream->Write(line);
+  call_ids_[call] = id;
+  connection->set_ups.insert(id);
+  connection->stream->Write(line);
 }
 
 void ExchangeConnections::Release(const core::CircuitSet& set, const core::ReleaseInfo&) {
-  const auto named = ids_.find(set.call);
-  if (named == ids_.end()) return;
-  const Leg leg = Remove(legs_.find(named->second));
-  LogCall(leg.stands ? "call-released" : "set-up-given-up", leg, "");
-  if (leg.stands) {
+  const auto named = call_ids_.find(set.call);
+  if (named == call_ids_.end()) return;
+  const CallLeg leg = RemoveCallLeg(call_legs_.find(named->second));
+  LogCall(leg.is_established ? "call-released" : "set-up-given-up", leg, "");
+  if (leg.is_established) {
     ++counters_.released;
   } else {
     ++counters_.given_up;
-    given_up_.Note(leg.id);
-    if (leg.link == nullptr) return;
-    leg.link->silent = true;
-    // What waits in the stream would be sent once it opens: the stream goes, if nothing else waits there.
-    if (!leg.link->open && leg.link->set_ups.empty()) return EndLink(leg.link, LinkEnd::kClosedHere);
-  }
-  SendRelease(leg.at, leg.link, leg.id);
-}
-
-void ExchangeConnections::SendRelease(Exchange* exchange, Link* link, const std::string& id) {
-  if (link == nullptr) link = OpenOne(*exchange);
-  if (link == nullptr) {
-    if (exchange->retired) return;
-    if (exchange->waiting.size() < kMostWaiting) exchange->waiting.push_back(id);
-    return KeepConnected(exchange);
-  }
-  link->stream->Write(WriteMessage({.type = MessageType::kRelease, .id = id, .cause = kNormal}));
-}
-
-ExchangeConnections::Leg ExchangeConnections::Remove(std::unordered_map<std::string, Leg>::iterator at) {
-  Leg leg = std::move(at->second);
-  legs_.erase(at);
-  ids_.erase(leg.call);
-  leg.at->standing.erase(leg.id);
-  leg.at->announced -= leg.announced ? 1 : 0;
-  if (leg.link != nullptr) {
-    leg.link->set_ups.erase(leg.id);
-    leg.link->standing.erase(leg.id);
+    given_up_.Insert(leg.id);
+    if (leg.connection == nullptr) return;
+    leg.connection->is_unresponsive = true;
+    // A connection that is not open yet would send the buffered set-up once it opens. It is closed, unless other
+    // set-ups are pending on it.
+    if (!leg.connection->is_open && leg.connection->set_ups.empty())
+      return EndConnection(leg.connection, DisconnectReason::kClosedLocally);
+  }
+  SendRelease(leg.exchange, leg.connection, leg.id);
+}
+
+void ExchangeConnections::SendRelease(Exchange* exchange, Connection* connection, const std::string& id) {
+  if (connection == nullptr) connection = NewestOpenConnection(*exchange);
+  if (connection == nullptr) {
+    if (exchange->is_retired) return;
+    if (exchange->queued_releases.size() < kMaxQueuedReleases) exchange->queued_releases.push_back(id);
+    return EnsureConnected(exchange);
+  }
+  connection->stream->Write(WriteMessage({.type = MessageType::kRelease, .id = id, .cause = kNormal}));
+}
+
+ExchangeConnections::CallLeg ExchangeConnections::RemoveCallLeg(
+    std::unordered_map<std::string, CallLeg>::iterator position) {
+  CallLeg leg = std::move(position->second);
+  call_legs_.erase(position);
+  call_ids_.erase(leg.call);
+  leg.exchange->established.erase(leg.id);
+  leg.exchange->announced -= leg.announced ? 1 : 0;
+  if (leg.connection != nullptr) {
+    leg.connection->set_ups.erase(leg.id);
+    leg.connection->established.erase(leg.id);
   }
   return leg;
 }
 
-ExchangeConnections::Link* ExchangeConnections::OpenOne(const Exchange& exchange) {
-  const auto newest =
-      std::find_if(exchange.links.rbegin(), exchange.links.rend(), [](const auto& x) { return x->open; });
-  return newest == exchange.links.rend() ? nullptr : newest->get();
+ExchangeConnections::Connection* ExchangeConnections::NewestOpenConnection(const Exchange& exchange) {
+  const auto newest = std::find_if(exchange.connections.rbegin(), exchange.connections.rend(),
+                                   [](const auto& x) { return x->is_open; });
+  return newest == exchange.connections.rend() ? nullptr : newest->get();
 }
 
 void ExchangeConnections::ProbeExchange(ExchangeId exchange) {
   const auto found = exchanges_.find(exchange);
-  Link* const link = found == exchanges_.end() ? nullptr : OpenOne(*found->second);
-  if (link == nullptr) return core_->OnProbeEnded(exchange, Outcome::kConnectFailed, 1, {});
-  SendProbe(link);
+  Connection* const connection = found == exchanges_.end() ? nullptr : NewestOpenConnection(*found->second);
+  if (connection == nullptr) return core_->OnProbeEnded(exchange, Outcome::kConnectFailed, 1, {});
+  SendProbe(connection);
 }
 
-void ExchangeConnections::SendProbe(Link* link) {
+void ExchangeConnections::SendProbe(Connection* connection) {
   char digits[17];
   std::snprintf(digits, sizeof(digits), "%016llx", static_cast<unsigned long long>(runtime_->Random()));
   if (probes_.size() > 256) probes_.clear();
-  probes_[digits] = {link->exchange->id, runtime_->Now()};
-  link->stream->Write(WriteMessage({.type = MessageType::kTest, .id = digits, .cause = 0}));
+  probes_[digits] = {connection->exchange->id, runtime_->Now()};
+  connection->stream->Write(WriteMessage({.type = MessageType::kTest, .id = digits, .cause = 0}));
 }
 
-void ExchangeConnections::Adopt(CallId call, const std::string& id, ExchangeId at) {
-  const auto found = exchanges_.find(at);
+void ExchangeConnections::AdoptCall(CallId call, const std::string& id, ExchangeId exchange_id) {
+  const auto found = exchanges_.find(exchange_id);
   if (found == exchanges_.end()) return;
-  // What a former set-up of this id left behind is over: its release must not reach the call that is taken over now.
-  std::erase(found->second->waiting, id);
-  given_up_.Forget(id);
-  if (const auto former = legs_.find(id); former != legs_.end()) Remove(former);
+  // Anything left of a former set-up with this id is obsolete: its queued release must not reach the call that is
+  // adopted now.
+  std::erase(found->second->queued_releases, id);
+  given_up_.Remove(id);
+  if (const auto former = call_legs_.find(id); former != call_legs_.end()) RemoveCallLeg(former);
   Exchange* const exchange = found->second.get();
-  legs_[id] = {call, 0, exchange, nullptr, true, runtime_->Now(), id};
-  ids_[call] = id;
-  legs_[id].announced = true;
+  call_legs_[id] = {call, 0, exchange, nullptr, true, runtime_->Now(), id};
+  call_ids_[call] = id;
+  call_legs_[id].announced = true;
   ++exchange->announced;
-  NoteStanding(exchange, id);
-  if (OpenOne(*exchange) == nullptr) exchange->detector.OnUnconfirmedCallAnnounced(runtime_->Now());
-  if (!exchange->check_announced.Running())
-    exchange->check_announced.Start(kAnnouncedTogether, [this, exchange] { CheckAnnounced(exchange); });
-  KeepConnected(exchange);
-  if (!early_ends_.Has(id)) return;
-  // Its end was told on the first connection to the exchange, before the caller said that it stands: told from the
-  // loop, as the caller is still being read.
+  RecordEstablishedCall(exchange, id);
+  if (NewestOpenConnection(*exchange) == nullptr) exchange->detector.OnUnconfirmedCallAnnounced(runtime_->Now());
+  if (!exchange->announced_check_timer.Running())
+    exchange->announced_check_timer.Start(kAnnouncementWindow, [this, exchange] { CheckAnnouncedCalls(exchange); });
+  EnsureConnected(exchange);
+  if (!early_releases_.Contains(id)) return;
+  // The release arrived on the first connection to the exchange, before the caller announced the call. It is passed on
+  // from the event loop, because the data of the caller is still being processed.
   ++counters_.early_ends;
-  early_ends_.Forget(id);
+  early_releases_.Remove(id);
   runtime_->StartTimer(0, [this, id] {
-    const auto leg = legs_.find(id);
-    if (leg == legs_.end() || !leg->second.stands) return;
-    const Leg ended = Remove(leg);
+    const auto leg = call_legs_.find(id);
+    if (leg == call_legs_.end() || !leg->second.is_established) return;
+    const CallLeg ended = RemoveCallLeg(leg);
     core_->OnTrunkReleased(ended.call, ended.attempt, {core::ReleaseCause::kNormal});
   });
 }
 
-void ExchangeConnections::NoteStanding(Exchange* exchange, const std::string& id) {
-  if (exchange->standing.empty()) exchange->detector.OnFirstCall(runtime_->Now());
-  exchange->standing.insert(id);
+void ExchangeConnections::RecordEstablishedCall(Exchange* exchange, const std::string& id) {
+  if (exchange->established.empty()) exchange->detector.OnFirstCall(runtime_->Now());
+  exchange->established.insert(id);
 }
 
-// ---- what exchanges send ----
+// ---- messages from exchanges ----
 
-bool ExchangeConnections::Take(Link* link, std::string_view line) {
+bool ExchangeConnections::HandleLine(Connection* connection, std::string_view line) {
   const auto message = ParseMessage(line);
   if (!message) return false;
   switch (message->type) {
     case MessageType::kAnswer:
-      // Without a description there is nothing to pass on: it was spoilt on its way.
+      // An answer without a description is corrupt and cannot be passed on.
       if (message->id.empty() || !message->description) return false;
-      TakeAnswer(link, *message);
+      HandleAnswer(connection, *message);
       return true;
     case MessageType::kRelease:
-      TakeRelease(link, *message);
+      HandleRelease(connection, *message);
       return true;
     case MessageType::kGauge:
-      TakeGauge(link, *message);
+      HandleGroupReport(connection, *message);
       return true;
     case MessageType::kTested: {
       const auto probe = probes_.find(message->id);
@@ -691,7 +714,7 @@
       const auto [exchange, sent] = probe->second;
       probes_.erase(probe);
       core_->OnProbeEnded(exchange, message->cause.value_or(0) == 1 ? Outcome::kOk : Outcome::kError,
-                          runtime_->Now() - sent, report_reader_.Figures(*message));
+                          runtime_->Now() - sent, report_reader_.ReadValues(*message));
       return true;
     }
     case MessageType::kWait:
@@ -706,143 +729,149 @@
   return true;
 }
 
-void ExchangeConnections::TakeAnswer(Link* link, const Message& message) {
-  const auto found = legs_.find(message.id);
-  if (found == legs_.end()) {
-    if (!given_up_.Has(message.id)) {
+void ExchangeConnections::HandleAnswer(Connection* connection, const Message& message) {
+  const auto found = call_legs_.find(message.id);
+  if (found == call_legs_.end()) {
+    if (!given_up_.Contains(message.id)) {
       ++counters_.unknown_answers;
       return;
     }
     ++counters_.late_answers;
-    return SendRelease(link->exchange, link, message.id);
+    return SendRelease(connection->exchange, connection, message.id);
   }
-  Leg& leg = found->second;
-  if (leg.stands || leg.link != link) {
+  CallLeg& leg = found->second;
+  if (leg.is_established || leg.connection != connection) {
     ++counters_.second_answers;
     return;
   }
   ++counters_.answers;
   LogCall("call-stands", leg, "");
-  leg.stands = true;
-  leg.stood_at = runtime_->Now();
-  link->set_ups.erase(message.id);
-  link->standing.insert(message.id);
-  NoteStanding(leg.at, message.id);
+  leg.is_established = true;
+  leg.established_at = runtime_->Now();
+  connection->set_ups.erase(message.id);
+  connection->established.insert(message.id);
+  RecordEstablishedCall(leg.exchange, message.id);
   const CallId call = leg.call;
   const int attempt = leg.attempt;
   core_->OnTrunkSession(call, attempt, message.description.value_or(std::string()));
   core_->OnTrunkAnswered(call, attempt);
 }
 
-void ExchangeConnections::TakeRelease(Link* link, const Message& message) {
-  const auto found = legs_.find(message.id);
-  if (found == legs_.end() || found->second.at != link->exchange ||
-      (!found->second.stands && found->second.link != link)) {
+void ExchangeConnections::HandleRelease(Connection* connection, const Message& message) {
+  const auto found = call_legs_.find(message.id);
+  if (found == call_legs_.end() || found->second.exchange != connection->exchange ||
+      (!found->second.is_established && found->second.connection != connection)) {
     ++counters_.unknown_ends;
-    early_ends_.Note(message.id);
+    early_releases_.Insert(message.id);
     return;
   }
-  Exchange* const exchange = link->exchange;
+  Exchange* const exchange = connection->exchange;
   policy::FailureDetector& detector = exchange->detector;
-  const bool was_in_doubt = exchange->InDoubt();
-  if (found->second.stands && (was_in_doubt || detector.HasPendingDenial()) &&
-      found->second.StoodBefore(detector.CallsInQuestionBefore(link->opened_at))) {
-    detector.OnCallConfirmed(runtime_->Now(), found->second.announced ? 0 : found->second.stood_at);
-    LogDoubt(*exchange, was_in_doubt);
+  const bool was_suspected = exchange->IsSuspected();
+  if (found->second.is_established && (was_suspected || detector.HasPendingDenial()) &&
+      found->second.WasEstablishedBefore(detector.CallsInQuestionBefore(connection->opened_at))) {
+    detector.OnCallConfirmed(runtime_->Now(), found->second.announced ? 0 : found->second.established_at);
+    LogSuspicionChange(*exchange, was_suspected);
   }
   const int cause = message.cause.value_or(kTemporaryFailure);
-  LogCall(found->second.stands ? "call-ended" : "set-up-ended", found->second, "cause " + std::to_string(cause));
-  const Leg leg = Remove(found);
-  if (leg.stands) {
+  LogCall(found->second.is_established ? "call-ended" : "set-up-ended", found->second,
+          "cause " + std::to_string(cause));
+  const CallLeg leg = RemoveCallLeg(found);
+  if (leg.is_established) {
     const bool normal = cause == kNormal;
     ++(normal ? counters_.ended : counters_.cut);
     return core_->OnTrunkReleased(leg.call, leg.attempt,
                                   {normal ? core::ReleaseCause::kNormal : core::ReleaseCause::kTemporaryFailure});
   }
   const std::string* const note = message.Field("note");
-  const core::AttemptResult meaning = MeaningOf(cause, note != nullptr ? *note : std::string());
-  ++(meaning.outcome == Outcome::kReset   ? counters_.resets
-     : meaning.outcome == Outcome::kError ? counters_.errors
-                                          : counters_.refusals);
-  const bool no_circuit = cause == kNoCircuit && meaning.cause != RejectCause::kProcessorFull;
+  const core::AttemptResult result = AttemptResultOf(cause, note != nullptr ? *note : std::string());
+  ++(result.outcome == Outcome::kReset   ? counters_.resets
+     : result.outcome == Outcome::kError ? counters_.errors
+                                         : counters_.refusals);
+  const bool no_circuit = cause == kNoCircuit && result.cause != RejectCause::kProcessorFull;
   core::ReleaseInfo info =
-      InfoOf(meaning, no_circuit ? core::ReleaseCause::kNoCircuit : core::ReleaseCause::kCongestion);
-  info.load = report_reader_.Figures(message);
+      MakeReleaseInfo(result, no_circuit ? core::ReleaseCause::kNoCircuit : core::ReleaseCause::kCongestion);
+  info.load = report_reader_.ReadValues(message);
   core_->OnTrunkReleased(leg.call, leg.attempt, info);
 }
 
-// An exchange tells the state of its group on any of its connections, at times on several.
-void ExchangeConnections::TakeGauge(Link* link, const Message& message) {
-  ++counters_.gauges;
+// An exchange may send the same group report on several of its connections.
+void ExchangeConnections::HandleGroupReport(Connection* connection, const Message& message) {
+  ++counters_.reports;
   const std::string* const load = message.Field("load");
   if (load == nullptr) return;
-  link->exchange->detector.OnReportReceived(runtime_->Now());
-  if (*load == link->exchange->told) return CheckCircuits(*link);
-  const std::vector<float> figures = report_reader_.Figures(*load);
-  link->exchange->told = *load;
-  link->exchange->circuits_used = report_reader_.CircuitsUsed(figures);
-  ++counters_.gauges_heard;
-  CheckCircuits(*link);
-  CheckAnnounced(link->exchange);
-  if (!figures.empty()) core_->OnGroupReport(link->exchange->id, figures);
-}
-
-void ExchangeConnections::TellDetector(const Link& link, LinkEnd end) {
-  Exchange* const exchange = link.exchange;
+  connection->exchange->detector.OnReportReceived(runtime_->Now());
+  if (*load == connection->exchange->last_report) return CheckCircuitReport(*connection);
+  const std::vector<float> values = report_reader_.ReadValues(*load);
+  connection->exchange->last_report = *load;
+  connection->exchange->circuits_used = report_reader_.CircuitsUsed(values);
+  ++counters_.changed_reports;
+  CheckCircuitReport(*connection);
+  CheckAnnouncedCalls(connection->exchange);
+  if (!values.empty()) core_->OnGroupReport(connection->exchange->id, values);
+}
+
+void ExchangeConnections::NotifyDetector(const Connection& connection, DisconnectReason reason) {
+  Exchange* const exchange = connection.exchange;
   const TimeUs now = runtime_->Now();
-  const bool was_in_doubt = exchange->InDoubt();
-  if (!link.open) return;
-  if (end == LinkEnd::kClosed) {
-    exchange->detector.OnConnectionClosed(now, link.opened_at);
-  } else if (end == LinkEnd::kReset) {
+  const bool was_suspected = exchange->IsSuspected();
+  if (!connection.is_open) return;
+  if (reason == DisconnectReason::kClosed) {
+    exchange->detector.OnConnectionClosed(now, connection.opened_at);
+  } else if (reason == DisconnectReason::kReset) {
     const policy::FailureDetector& detector = exchange->detector;
-    const auto others = std::count_if(exchange->links.begin(), exchange->links.end(), [&](const auto& other) {
-      const bool counts = !detector.IsProbingHolder() || detector.IsHolderConnection(other->opened_at);
-      return other->open && other.get() != &link && counts;
-    });
-    exchange->detector.OnConnectionReset(now, static_cast<std::size_t>(others), exchange->standing.size());
-  }
-  LogDoubt(*exchange, was_in_doubt);
-}
-
-void ExchangeConnections::EndLink(Link* link, LinkEnd end) {
-  Exchange* const exchange = link->exchange;
-  ++(end == LinkEnd::kRefused       ? counters_.refused
-     : end == LinkEnd::kNotUpInTime ? counters_.timed_out
-                                    : counters_.broken);
-  TellDetector(*link, end);
-  const bool ran = link->open;  // else nothing was written before it came to this
-  const bool first_failure = !ran && OpenOne(*exchange) == nullptr && !std::exchange(exchange->unreachable, true);
+    const auto others =
+        std::count_if(exchange->connections.begin(), exchange->connections.end(), [&](const auto& other) {
+          const bool counts = !detector.IsProbingHolder() || detector.IsHolderConnection(other->opened_at);
+          return other->is_open && other.get() != &connection && counts;
+        });
+    exchange->detector.OnConnectionReset(now, static_cast<std::size_t>(others), exchange->established.size());
+  }
+  LogSuspicionChange(*exchange, was_suspected);
+}
+
+void ExchangeConnections::EndConnection(Connection* connection, DisconnectReason reason) {
+  Exchange* const exchange = connection->exchange;
+  ++(reason == DisconnectReason::kRefused          ? counters_.refused
+     : reason == DisconnectReason::kConnectTimeout ? counters_.timed_out
+                                                   : counters_.broken);
+  NotifyDetector(*connection, reason);
+  const bool was_open = connection->is_open;  // otherwise nothing was sent on it
+  const bool first_failure =
+      !was_open && NewestOpenConnection(*exchange) == nullptr && !std::exchange(exchange->unreachable, true);
   LogConnection(first_failure ? core::LogLevel::kInfo : core::LogLevel::kDebug,
-                ran ? "exchange-connection-ended" : "exchange-not-reached", *link,
-                std::string(NameOf(end)) + ", set-ups on it " + std::to_string(link->set_ups.size()) +
-                    ", calls standing there " + std::to_string(exchange->standing.size()));
-  std::vector<std::string> ids(link->set_ups.begin(), link->set_ups.end());
+                was_open ? "exchange-connection-ended" : "exchange-not-reached", *connection,
+                std::string(NameOf(reason)) + ", pending set-ups " + std::to_string(connection->set_ups.size()) +
+                    ", established calls " + std::to_string(exchange->established.size()));
+  std::vector<std::string> ids(connection->set_ups.begin(), connection->set_ups.end());
   std::sort(ids.begin(), ids.end());
-  const std::unique_ptr<Link> kept = std::move(*link->place);
-  exchange->links.erase(link->place);
-  --link_count_;
-  // The sink outlives its stream, and the stream ends here.
-  kept->stream.reset();
-  for (const std::string& id : kept->standing) legs_.at(id).link = nullptr;
-  // Told apart before the core acts on it: nothing was written on this one, and the exchange may be as well as before.
-  const bool lives = !ran && Lives(*exchange);
-  if (lives) exchange->fresh_failed_at = runtime_->Now();
+  const std::unique_ptr<Connection> ended = std::move(*connection->position);
+  exchange->connections.erase(connection->position);
+  --connection_count_;
+  // The handler outlives its stream, which ends here.
+  ended->stream.reset();
+  for (const std::string& id : ended->established) call_legs_.at(id).connection = nullptr;
+  // Determined before the core reacts: nothing was sent on this connection, and the exchange may still be healthy.
+  const bool exchange_alive = !was_open && IsKnownAlive(*exchange);
+  if (exchange_alive) exchange->connect_failed_at = runtime_->Now();
   for (const std::string& id : ids) {
-    const auto found = legs_.find(id);
-    if (found == legs_.end()) continue;
-    const Leg leg = Remove(found);
-    ++(ran ? counters_.resets : counters_.never_ran);
-    if (ran) given_up_.Note(id);
-    core_->OnTrunkReleased(leg.call, leg.attempt,
-                           ran ? InfoOf(kReset, core::ReleaseCause::kTemporaryFailure)
-                               : InfoOf(lives ? kConnectionLost : kNeverRan, core::ReleaseCause::kOutOfOrder));
-  }
-  // Nothing listens there any more, or it is gone from the list and its last connection with it, on which a set-up may
-  // still have been answered: what stood there was cut.
-  if (end == LinkEnd::kRefused && exchange->links.empty()) CutAll(exchange, runtime_->Now() + 1, "refuses connections");
-  if (exchange->retired && exchange->links.empty()) CutAll(exchange, runtime_->Now() + 1, "gone from the list");
-  KeepConnected(exchange);
+    const auto found = call_legs_.find(id);
+    if (found == call_legs_.end()) continue;
+    const CallLeg leg = RemoveCallLeg(found);
+    ++(was_open ? counters_.resets : counters_.never_ran);
+    if (was_open) given_up_.Insert(id);
+    core_->OnTrunkReleased(
+        leg.call, leg.attempt,
+        was_open ? MakeReleaseInfo(kReset, core::ReleaseCause::kTemporaryFailure)
+                 : MakeReleaseInfo(exchange_alive ? kConnectionLost : kNotConnected, core::ReleaseCause::kOutOfOrder));
+  }
+  // No process listens there any more, or the exchange was removed from the directory and this was its last connection,
+  // on which a set-up may still have been answered: its calls are terminated.
+  if (reason == DisconnectReason::kRefused && exchange->connections.empty())
+    TerminateCallsBefore(exchange, runtime_->Now() + 1, "refuses connections");
+  if (exchange->is_retired && exchange->connections.empty())
+    TerminateCallsBefore(exchange, runtime_->Now() + 1, "removed from the directory");
+  EnsureConnected(exchange);
 }
 
 }  // namespace croftrun::platform
--- a/src/platform/group_report.h
+++ b/src/platform/group_report.h
@@ -1,4 +1,4 @@
-// Reads an exchange's report of a group, such as "spare:205;total:205", by the names of the settings.
+// Parses the group reports of exchanges, such as "spare:205;total:205", by the field names in the settings.
 #ifndef CROFTRUN_PLATFORM_GROUP_REPORT_H_
 #define CROFTRUN_PLATFORM_GROUP_REPORT_H_
 
@@ -13,20 +13,20 @@
 
 class GroupReportReader {
  public:
-  // `names`: of the figures, in the module's order. `own_circuits`: a report counts the circuits towards this
-  // softswitch alone.
-  GroupReportReader(std::vector<std::string> names, bool own_circuits)
-      : names_(std::move(names)), own_circuits_(own_circuits) {}
-
-  // The figures in the order of the names, -1 for one that did not come.
-  std::vector<float> Figures(const std::string& load) const;
-  // The same of a message that may carry a report; empty where it has none.
-  std::vector<float> Figures(const Message& message) const;
-  // Circuits in use by these figures; nothing where they do not tell.
-  std::optional<std::size_t> CircuitsUsed(const std::vector<float>& figures) const;
+  // `field_names` are given in the order of Settings::report_fields. `own_circuits` states that a report counts only
+  // the circuits towards this softswitch.
+  GroupReportReader(std::vector<std::string> field_names, bool own_circuits)
+      : field_names_(std::move(field_names)), own_circuits_(own_circuits) {}
+
+  // Returns the values in the order of the field names, with -1 for a missing one.
+  std::vector<float> ReadValues(const std::string& load) const;
+  // Likewise for a message that may contain a report. Returns an empty vector if it has none.
+  std::vector<float> ReadValues(const Message& message) const;
+  // Returns the number of circuits in use, if the values state it.
+  std::optional<std::size_t> CircuitsUsed(const std::vector<float>& values) const;
 
  private:
-  std::vector<std::string> names_;
+  std::vector<std::string> field_names_;
   bool own_circuits_;
 };
 
--- a/src/platform/line_codec.cpp
+++ b/src/platform/line_codec.cpp
@@ -20,8 +20,8 @@
                                                                           {"hb_ok", MessageType::kTested},
                                                                           {"gauge", MessageType::kGauge}}};
 constexpr std::size_t kIdDigits = 16;
-constexpr std::size_t kMostFields = 32;
-constexpr double kMostNumber = 65535, kMostWidth = 1024;
+constexpr std::size_t kMaxFields = 32;
+constexpr double kMaxNumber = 65535, kMaxWidth = 1024;
 
 bool IsHex(char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F'); }
 
@@ -46,18 +46,18 @@
   Message message;
   const auto type = object.find("t");
   if (type == object.end() || !type->is_string()) return std::nullopt;
-  const auto& word = type->get_ref<const std::string&>();
+  const auto& type_name = type->get_ref<const std::string&>();
   for (const auto& [name, value] : kTypes) {
-    if (name == word) message.type = value;
+    if (name == type_name) message.type = value;
   }
   if (const auto id = object.find("ref"); id != object.end()) {
     if (!id->is_string()) return std::nullopt;
     message.id = id->get<std::string>();
-    const bool whole = message.id.size() == kIdDigits && std::all_of(message.id.begin(), message.id.end(), IsHex);
-    if (!whole && !message.id.empty()) return std::nullopt;
+    const bool is_valid = message.id.size() == kIdDigits && std::all_of(message.id.begin(), message.id.end(), IsHex);
+    if (!is_valid && !message.id.empty()) return std::nullopt;
   }
   if (const auto fields = object.find("f"); fields != object.end()) {
-    if (!fields->is_object() || fields->size() > kMostFields) return std::nullopt;
+    if (!fields->is_object() || fields->size() > kMaxFields) return std::nullopt;
     for (const auto& [key, value] : fields->items()) {
       auto text = TextOf(value);
       if (!text) return std::nullopt;
@@ -89,38 +89,38 @@
   if (message.description) object["d"] = *message.description;
   std::string line = object.dump(-1, ' ', false, json::error_handler_t::replace);
   line += '\n';
-  return line.size() > kMostLine ? std::string() : line;
+  return line.size() > kMaxLineOctets ? std::string() : line;
 }
 
-std::optional<double> ParseNumber(std::string_view text, double least, double most) {
+std::optional<double> ParseNumber(std::string_view text, double min, double max) {
   double number = 0.0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  if (!std::isfinite(number) || number < least || number > most) return std::nullopt;
+  if (!std::isfinite(number) || number < min || number > max) return std::nullopt;
   return number;
 }
 
 std::optional<Extras> ParseExtras(std::string_view text) {
   Extras extras;
-  const bool read = ForEachFigure(text, [&extras](std::string_view name, std::string_view value) {
-    std::optional<double> figure = 0.0;
-    const auto number = [&](double least, double most) { return figure = ParseNumber(value, least, most); };
+  const bool complete = ForEachField(text, [&extras](std::string_view name, std::string_view value) {
+    std::optional<double> parsed = 0.0;
+    const auto number = [&](double min, double max) { return parsed = ParseNumber(value, min, max); };
     if (name == "dest") {
-      if (number(0.0, kMostNumber)) extras.destination = static_cast<int>(*figure);
+      if (number(0.0, kMaxNumber)) extras.destination = static_cast<int>(*parsed);
     } else if (name == "width") {
-      if (number(1.0, kMostWidth)) extras.width = *figure;
+      if (number(1.0, kMaxWidth)) extras.width = *parsed;
     } else if (name == "via") {
-      if (number(-1.0, kMostNumber)) extras.via = static_cast<int>(*figure);
+      if (number(-1.0, kMaxNumber)) extras.via = static_cast<int>(*parsed);
     } else if (name == "transit") {
-      if (number(0.0, 1.0)) extras.transit = *figure > 0.0;
+      if (number(0.0, 1.0)) extras.transit = *parsed > 0.0;
     } else if (name == "again") {
-      if (number(0.0, 1.0)) extras.again = *figure > 0.0;
+      if (number(0.0, 1.0)) extras.again = *parsed > 0.0;
     } else if (name == "at") {
       extras.at = value;
     }
-    return figure.has_value();
+    return parsed.has_value();
   });
-  if (!read) return std::nullopt;
+  if (!complete) return std::nullopt;
   return extras;
 }
 
--- a/src/platform/line_codec.h
+++ b/src/platform/line_codec.h
@@ -1,7 +1,8 @@
-// Package platform: the protocol of the users' platform, a way in and out of the call core on streams.
+// Package platform: connects the call core to the users' platform over its stream protocol.
 //
-// The codec: JSON lines, each one message about one call, both ways. It is pure: octets to messages and back. Ids and
-// descriptions pass unchanged. Lines are bounded while they arrive, so that one without end costs no memory.
+// This is the codec: JSON lines, each with one message about one call, in both directions. It converts octets to
+// messages and back without any I/O. Ids and descriptions pass unchanged. The length of a line is limited while it
+// arrives, so that an endless line does not use up memory.
 #ifndef CROFTRUN_PLATFORM_LINE_CODEC_H_
 #define CROFTRUN_PLATFORM_LINE_CODEC_H_
 
@@ -16,102 +17,104 @@
 
 namespace croftrun::platform {
 
-// The longest message of the protocol, its line feed included.
-inline constexpr std::size_t kMostLine = 16 << 10;
+// Maximum length of a message, including its line feed.
+inline constexpr std::size_t kMaxLineOctets = 16 << 10;
 
 enum class MessageType : std::uint8_t {
   kSetUp,    // new
-  kWait,     // wait: progress, means nothing
+  kWait,     // wait: progress, ignored
   kAnswer,   // up
-  kRelease,  // down: a refusal, a give-up or the end of a call that stands
-  kHeard,    // ack: release heard
-  kTest,     // hb
-  kTested,   // hb_ok
-  kGauge,    // gauge: state of a group
-  kOther,    // a word that this side does not know
+  kRelease,  // down: rejection, abandonment or end of an established call
+  kHeard,    // ack: acknowledges a release
+  kTest,     // hb: heartbeat
+  kTested,   // hb_ok: response to a heartbeat
+  kGauge,    // gauge: group report
+  kOther,    // a type that this side does not know
 };
 
 struct Message {
   MessageType type = MessageType::kOther;
-  std::string id = {};                                           // of the call; empty where none came
-  std::vector<std::pair<std::string, std::string>> fields = {};  // numbers as they were written
+  std::string id = {};                                           // call id; empty if absent
+  std::vector<std::pair<std::string, std::string>> fields = {};  // numbers in their original notation
   std::optional<int> cause = {};
   std::optional<std::string> description = {};
 
-  // The field's text; null where it is absent.
+  // Returns the text of the field, or null if it is absent.
   const std::string* Field(std::string_view name) const;
 };
 
-// One line without its line feed; nothing where it is not one JSON object of this form, or an id is not 16 hex digits.
+// Parses one line without its line feed. Returns nothing if it is not a JSON object of this form, or if an id is not 16
+// hex digits.
 std::optional<Message> ParseMessage(std::string_view line);
-// With the line feed. Empty where the message would be longer than the protocol allows.
+// Returns the line including its line feed, or an empty string if the message would exceed the limit of the protocol.
 std::string WriteMessage(const Message& message);
 
-// Cuts a stream into lines, without copying the usual one.
+// Splits a stream into lines, without copying a line that arrives in one piece.
 class LineReader {
  public:
-  // Calls `take(line)` for each line that `bytes` completes, until it returns false (its owner is gone or wants no
-  // more). False when it did, or when a line is longer than kMostLine: nothing after that can be told apart.
-  template <typename Take>
-  bool Feed(std::string_view bytes, const Take& take) {
+  // Calls `handler(line)` for each line that `bytes` completes, until it returns false because the owner is gone or
+  // wants no more lines. Returns false in that case, and also if a line exceeds kMaxLineOctets, because the lines after
+  // it cannot be told apart.
+  template <typename Handler>
+  bool Feed(std::string_view bytes, const Handler& handler) {
     while (!bytes.empty()) {
       const auto end = bytes.find('\n');
-      if (kept_.size() + std::min(end, bytes.size()) >= kMostLine) {
+      if (partial_line_.size() + std::min(end, bytes.size()) >= kMaxLineOctets) {
         too_long_ = true;
         return false;
       }
       if (end == std::string_view::npos) {
-        kept_.append(bytes);
+        partial_line_.append(bytes);
         return true;
       }
       const std::string_view rest = bytes.substr(0, end);
       bytes.remove_prefix(end + 1);
-      if (kept_.empty()) {
-        if (!take(rest)) return false;
+      if (partial_line_.empty()) {
+        if (!handler(rest)) return false;
         continue;
       }
-      std::string line = std::exchange(kept_, {});
+      std::string line = std::exchange(partial_line_, {});
       line.append(rest);
-      if (!take(std::string_view(line))) return false;
+      if (!handler(std::string_view(line))) return false;
     }
     return true;
   }
   bool too_long() const { return too_long_; }
-  // The beginning of a line is held.
-  bool partial() const { return !kept_.empty(); }
+  // Returns whether the last line is still incomplete.
+  bool has_partial_line() const { return !partial_line_.empty(); }
 
  private:
-  std::string kept_;
+  std::string partial_line_;
   bool too_long_ = false;
 };
 
-// The figures of a set-up as a caller states them in its field `extras`.
+// The values that a caller states in the field `extras` of a set-up.
 struct Extras {
   int destination = -1;
   double width = 1.0;
   int via = -1;
   bool transit = false, again = false;
-  std::string at;  // the exchange where the call stands already; empty: it is to be set up
+  std::string at;  // uid of the exchange where the call is already established; empty: a new call
 };
-// Nothing where a figure that is known by name cannot be read or is out of its range. Unknown names are skipped.
+// Returns nothing if the value of a known name cannot be parsed or is out of range. Unknown names are skipped.
 std::optional<Extras> ParseExtras(std::string_view text);
 
-// Calls `take(name, value)` for each of "name:value;name:value", until it returns false; then false. What has no colon
-// is skipped.
-template <typename Take>
-bool ForEachFigure(std::string_view text, const Take& take) {
+// Calls `handler(name, value)` for each item of "name:value;name:value" until it returns false, and then returns false.
+// Items without a colon are skipped.
+template <typename Handler>
+bool ForEachField(std::string_view text, const Handler& handler) {
   while (!text.empty()) {
     const auto end = text.find(';');
     const auto item = text.substr(0, end);
     text = end == std::string_view::npos ? std::string_view() : text.substr(end + 1);
     const auto colon = item.find(':');
-    if (colon != std::string_view::npos && !take(item.substr(0, colon), item.substr(colon + 1))) return false;
+    if (colon != std::string_view::npos && !handler(item.substr(0, colon), item.substr(colon + 1))) return false;
   }
   return true;
 }
 
-// Nothing unless the whole text is one finite number from `least` to `most`.
-std::optional<double> ParseNumber(std::string_view text, double least, double most);
+// Returns the number if the whole text is one finite number from `min` to `max`, otherwise nothing.
+std::optional<double> ParseNumber(std::string_view text, double min, double max);
 
 }  // namespace croftrun::platform
 
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -7,36 +7,37 @@
 namespace croftrun::platform {
 namespace {
 
-constexpr TimeUs kFiguresEvery = 10'000'000;
-// Descriptors that are neither a caller's nor an exchange's: the program's own and the board's, with some to spare.
-constexpr std::size_t kOwnDescriptors = 24;
-// Of the others, the percentage for connections to exchanges. Callers keep theirs for as long as they like.
-constexpr std::size_t kExchangesShare = 35;
-// Calls that a megabyte of memory is trusted with.
-constexpr std::size_t kCallsPerMegabyte = 128;
-// After a stop was asked for, callers may still come for this long. From then on new calls are refused at once; when
-// all is answered the callers' connections are closed in order, and what crossed that comes again within the second
+constexpr TimeUs kMetricsInterval = 10'000'000;
+// File descriptors reserved for the process itself and the connection to the discovery service, with some spare.
+constexpr std::size_t kReservedDescriptors = 24;
+// Percentage of the other descriptors for connections to exchanges. Callers may keep their connections open for any
 // time.
-constexpr TimeUs kStopTakes = 750'000, kStopCrossing = 100'000;
-constexpr TimeUs kStopCheck = 20'000;
-// The platform kills the process no earlier than the longest deadline (at most the first) plus the second after
-// SIGTERM. By then every call has its answer (so much before) and the connections are closed (so much before).
-constexpr TimeUs kLongestKillWait = 3'000'000, kKillMargin = 700'000;
-constexpr TimeUs kAnswersBeforeKill = 350'000, kClosedBeforeKill = 250'000;
-// Calls in doubt are ended so much before, as their callers' connections are still open then.
-constexpr TimeUs kSettledBeforeKill = kClosedBeforeKill + 2 * policy::kLivenessCheckInterval;
-// An address that is still bound is tried again at this gap, so many times.
-constexpr TimeUs kBindAgain = 50'000;
-constexpr int kMostBinds = 200;
+constexpr std::size_t kExchangeSharePercent = 35;
+// Number of calls allowed per megabyte of memory.
+constexpr std::size_t kCallsPerMegabyte = 128;
+// After a stop request, calls are accepted for kShutdownAcceptTime and then rejected. When all calls are answered, the
+// callers' connections are closed. A message that crossed the close is sent again within kShutdownQuietTime.
+constexpr TimeUs kShutdownAcceptTime = 750'000, kShutdownQuietTime = 100'000;
+constexpr TimeUs kShutdownCheckInterval = 20'000;
+// The platform kills the process no earlier after SIGTERM than the longest deadline, which is limited to kMaxKillDelay,
+// plus kMinKillMargin. All calls are answered kAnswerLeadTime before that, and the connections are closed
+// kCloseLeadTime before that.
+constexpr TimeUs kMaxKillDelay = 3'000'000, kMinKillMargin = 700'000;
+constexpr TimeUs kAnswerLeadTime = 350'000, kCloseLeadTime = 250'000;
+// Suspected calls are decided this long before the kill, while the callers' connections are still open.
+constexpr TimeUs kDecisionLeadTime = kCloseLeadTime + 2 * policy::kLivenessCheckInterval;
+// Interval and maximum number of retries while the address is in use.
+constexpr TimeUs kBindRetryInterval = 50'000;
+constexpr int kMaxBindRetries = 200;
 
 core::CoreSettings CoreSettingsOf(const NodeConfig& config) {
   core::CoreSettings settings;
   settings.module = config.module;
   settings.seed = config.seed;
   settings.network_manages_circuits = true;
-  settings.answer_margin_us = 0;  // the caller's time is all the module's
-  settings.forgotten_call_timeout_us = config.grace_us;
-  settings.max_session_octets = kMostLine;
+  settings.answer_margin_us = 0;  // the module may use the caller's whole timeout
+  settings.forgotten_call_timeout_us = config.answer_grace_us;
+  settings.max_session_octets = kMaxLineOctets;
   settings.max_calls = std::min<std::size_t>(config.module.max_held_calls, config.memory_mb * kCallsPerMegabyte);
   return settings;
 }
@@ -50,94 +51,103 @@
 }  // namespace
 
 Node::Node(const NodeConfig& config, core::Runtime* runtime, core::Logger* log)
-    : runtime_(runtime), log_(log), figures_(runtime), end_(runtime), bind_(runtime), settings_(config.settings) {
+    : runtime_(runtime),
+      log_(log),
+      metrics_timer_(runtime),
+      shutdown_timer_(runtime),
+      bind_timer_(runtime),
+      settings_text_(config.settings_text) {
   core_ = std::make_unique<core::CallCore>(CoreSettingsOf(config), runtime, log);
   for (const CallClass& call_class : config.module.classes) {
-    longest_deadline_ =
-        std::max(longest_deadline_, call_class.deadline_us > 0 ? call_class.deadline_us : kLongestKillWait);
+    max_deadline_ = std::max(max_deadline_, call_class.deadline_us > 0 ? call_class.deadline_us : kMaxKillDelay);
   }
-  const std::size_t room = config.sockets - std::min(config.sockets / 2, kOwnDescriptors);
-  ExchangeSettings to_exchanges;
-  to_exchanges.most_links = room * kExchangesShare / 100;
-  to_exchanges.connect_within_us = config.connect_timeout_us;
-  to_exchanges.classes = ClassNames(config.module);
-  to_exchanges.zones = config.zones;
-  to_exchanges.kinds = config.kinds;
-  to_exchanges.figures = config.figures;
-  // Read once: the same Unix time must mean the same time of the module however often it is told.
-  to_exchanges.unix_offset_us = runtime->WallClockUs() - static_cast<std::int64_t>(runtime->Now());
-  to_exchanges.may_probe = config.module.may_probe;
-  to_exchanges.own_circuits = config.module.topology == Topology::kMeshed;
-  exchange_connections_ = std::make_unique<ExchangeConnections>(to_exchanges, runtime, log, core_.get());
+  const std::size_t available = config.sockets - std::min(config.sockets / 2, kReservedDescriptors);
+  ExchangeSettings exchange_settings;
+  exchange_settings.max_connections = available * kExchangeSharePercent / 100;
+  exchange_settings.connect_timeout_us = config.connect_timeout_us;
+  exchange_settings.classes = ClassNames(config.module);
+  exchange_settings.zones = config.zones;
+  exchange_settings.kinds = config.kinds;
+  exchange_settings.report_fields = config.report_fields;
+  // Determined once, so that the same Unix time always converts to the same time of the module.
+  exchange_settings.unix_offset_us = runtime->WallClockUs() - static_cast<std::int64_t>(runtime->Now());
+  exchange_settings.may_probe = config.module.may_probe;
+  exchange_settings.own_circuits = config.module.topology == Topology::kMeshed;
+  exchange_connections_ = std::make_unique<ExchangeConnections>(exchange_settings, runtime, log, core_.get());
   core_->SetTrunks(exchange_connections_.get());
-  std::uint64_t last = config.known_number;
-  for (const Notice& notice : config.known) {
-    exchange_connections_->OnNotice(notice);
-    last = std::max(last, notice.number);
+  std::uint64_t last = config.known_event_number;
+  for (const DirectoryNotification& notification : config.known_notifications) {
+    exchange_connections_->OnDirectoryNotification(notification);
+    last = std::max(last, notification.number);
   }
-  CallerSettings to_callers;
-  to_callers.listen = config.listen;
-  to_callers.most_links = room - to_exchanges.most_links;
-  to_callers.classes = to_exchanges.classes;
+  CallerSettings caller_settings;
+  caller_settings.listen = config.listen;
+  caller_settings.max_connections = available - exchange_settings.max_connections;
+  caller_settings.classes = exchange_settings.classes;
   caller_connections_ =
-      std::make_unique<CallerConnections>(to_callers, runtime, log, core_.get(), exchange_connections_.get());
-  discovery_client_ = std::make_unique<DiscoveryClient>(
-      runtime, log, config.board, last, [this](const Notice& notice) { exchange_connections_->OnNotice(notice); });
-  Listen(kMostBinds);
-  TellFigures();
+      std::make_unique<CallerConnections>(caller_settings, runtime, log, core_.get(), exchange_connections_.get());
+  discovery_client_ = std::make_unique<DiscoveryClient>(runtime, log, config.discovery_address, last,
+                                                        [this](const DirectoryNotification& notification) {
+                                                          exchange_connections_->OnDirectoryNotification(notification);
+                                                        });
+  Listen(kMaxBindRetries);
+  StartMetricsTimer();
 }
 
-void Node::Listen(int tries) {
+void Node::Listen(int retries_left) {
   try {
     caller_connections_->Listen();
   } catch (const std::system_error& error) {
-    if (error.code() != std::errc::address_in_use || tries == 0) throw;
-    if (tries == kMostBinds) log_->Write(core::LogLevel::kWarning, "address-in-use", 0, error.what());
-    bind_.Start(kBindAgain, [this, tries] { Listen(tries - 1); });
+    if (error.code() != std::errc::address_in_use || retries_left == 0) throw;
+    if (retries_left == kMaxBindRetries) log_->Write(core::LogLevel::kWarning, "address-in-use", 0, error.what());
+    bind_timer_.Start(kBindRetryInterval, [this, retries_left] { Listen(retries_left - 1); });
   }
 }
 
 void Node::Reconfigure(const NodeConfig& config) {
-  for (const Notice& notice : config.known) {
-    if (notice.number <= discovery_client_->last()) continue;
-    exchange_connections_->OnNotice(notice);
-    discovery_client_->Known(notice.number);
+  for (const DirectoryNotification& notification : config.known_notifications) {
+    if (notification.number <= discovery_client_->last_number()) continue;
+    exchange_connections_->OnDirectoryNotification(notification);
+    discovery_client_->AdvanceTo(notification.number);
   }
   log_->Write(core::LogLevel::kInfo, "reconfigured", 0,
-              "board " + core::ToString(discovery_client_->address()) + " to " + core::ToString(config.board));
-  if (config.settings != settings_)
+              "discovery service " + core::ToString(discovery_client_->address()) + " to " +
+                  core::ToString(config.discovery_address));
+  if (config.settings_text != settings_text_)
     log_->Write(core::LogLevel::kWarning, "settings-kept", 0,
-                "changed settings and limits are followed at the next start");
-  discovery_client_->MoveTo(config.board);
+                "changed settings and limits take effect at the next start");
+  discovery_client_->MoveTo(config.discovery_address);
 }
 
-void Node::Stop(std::function<void()> done) {
-  done_ = std::move(done);
-  stopping_since_ = runtime_->Now();
-  const TimeUs kill_at = stopping_since_ + std::min(longest_deadline_, kLongestKillWait) + kKillMargin;
-  last_moment_ = kill_at - kClosedBeforeKill;
-  core_->SetShutdownDeadline(kill_at - kAnswersBeforeKill);
-  exchange_connections_->SettleBy(kill_at - kSettledBeforeKill);
+void Node::Stop(std::function<void()> on_stopped) {
+  on_stopped_ = std::move(on_stopped);
+  stop_requested_at_ = runtime_->Now();
+  const TimeUs kill_at = stop_requested_at_ + std::min(max_deadline_, kMaxKillDelay) + kMinKillMargin;
+  force_close_at_ = kill_at - kCloseLeadTime;
+  core_->SetShutdownDeadline(kill_at - kAnswerLeadTime);
+  exchange_connections_->SetDecisionDeadline(kill_at - kDecisionLeadTime);
   log_->Write(core::LogLevel::kInfo, "stopping", 0, Metrics());
-  WaitForEnd();
+  ContinueShutdown();
 }
 
-// Serving, then (kStopTakes) refusing, then closing each connection as nothing is left on it: over once nothing is
-// owed, half said, unread or unwritten, no call stands, and nothing has come for the time in which something may still
-// cross a close. In the last moment before the kill may come, connections are closed though calls stand on them.
-void Node::WaitForEnd() {
-  const TimeUs now = runtime_->Now(), closing = std::min(stopping_since_ + kStopTakes, last_moment_);
+// The shutdown accepts calls, then (after kShutdownAcceptTime) rejects them, then closes each connection once it is
+// idle. It is complete when no answer is outstanding, no call is open, no line is partial, no data is unread or
+// unwritten, and nothing has arrived for the time in which a message may cross a close. Shortly before the process may
+// be killed, connections are closed although they have established calls.
+void Node::ContinueShutdown() {
+  const TimeUs now = runtime_->Now(), closing = std::min(stop_requested_at_ + kShutdownAcceptTime, force_close_at_);
   if (now >= closing) {
     core_->StopAcceptingCalls();
-    if (caller_connections_->unanswered() > 0 || caller_connections_->links() > 0) last_open_ = now;
-    caller_connections_->CloseIdle(now >= last_moment_);
-    const TimeUs quiet_since = std::max({closing, last_open_, caller_connections_->last_link()});
-    const bool quiet = now >= quiet_since + kStopCrossing;
-    const bool nothing_stands = caller_connections_->open_calls() == 0 || now >= last_moment_;
-    const bool late = now >= last_moment_ + kStopCrossing;
-    if (caller_connections_->unanswered() == 0 && ((quiet && nothing_stands) || late)) return done_();
+    if (caller_connections_->unanswered_set_ups() > 0 || caller_connections_->connection_count() > 0)
+      last_busy_at_ = now;
+    caller_connections_->CloseIdleConnections(now >= force_close_at_);
+    const TimeUs quiet_since = std::max({closing, last_busy_at_, caller_connections_->last_accepted_at()});
+    const bool quiet = now >= quiet_since + kShutdownQuietTime;
+    const bool no_open_calls = caller_connections_->open_calls() == 0 || now >= force_close_at_;
+    const bool overdue = now >= force_close_at_ + kShutdownQuietTime;
+    if (caller_connections_->unanswered_set_ups() == 0 && ((quiet && no_open_calls) || overdue)) return on_stopped_();
   }
-  end_.Start(kStopCheck, [this] { WaitForEnd(); });
+  shutdown_timer_.Start(kShutdownCheckInterval, [this] { ContinueShutdown(); });
 }
 
 std::string Node::Metrics() const {
@@ -145,13 +155,13 @@
   const auto& e = exchange_connections_->counters();
   const auto& k = core_->counters();
   const auto& b = discovery_client_->counters();
-  const nlohmann::json figures = {{"callers",
-                                   {{"links", c.links},
-                                    {"open_links", caller_connections_->links()},
-                                    {"links_waited", c.links_waited},
-                                    {"links_evicted", c.links_evicted},
-                                    {"links_silent", c.links_silent},
-                                    {"links_stuck", c.links_stuck},
+  const nlohmann::json metrics = {{"callers",
+                                   {{"links", c.connections},
+                                    {"open_links", caller_connections_->connection_count()},
+                                    {"links_waited", c.connections_waited},
+                                    {"links_evicted", c.connections_evicted},
+                                    {"links_silent", c.connections_silent},
+                                    {"links_stuck", c.connections_stuck},
                                     {"unreadable", c.unreadable},
                                     {"too_long", c.too_long},
                                     {"faulty", c.faulty},
@@ -164,15 +174,15 @@
                                     {"failures", c.failures},
                                     {"ended", c.ended},
                                     {"released_by_caller", c.released_by_caller},
-                                    {"ends_without_link", c.ends_without_link},
+                                    {"ends_without_link", c.ends_without_connection},
                                     {"ends_dropped", c.ends_dropped},
-                                    {"ends_waiting", caller_connections_->waiting_ends()},
+                                    {"ends_waiting", caller_connections_->waiting_releases()},
                                     {"ends_told_again", c.ends_told_again},
                                     {"acknowledged", c.acknowledged},
                                     {"end_waited_longest_ms", c.end_waited_longest / 1000},
                                     {"tests", c.tests},
                                     {"held", caller_connections_->open_calls()},
-                                    {"unanswered", caller_connections_->unanswered()}}},
+                                    {"unanswered", caller_connections_->unanswered_set_ups()}}},
                                   {"exchanges",
                                    {{"set_ups", e.set_ups},
                                     {"shared", e.shared},
@@ -191,26 +201,26 @@
                                     {"timed_out", e.timed_out},
                                     {"broken", e.broken},
                                     {"spoilt", e.spoilt},
-                                    {"gauges", e.gauges},
-                                    {"gauges_heard", e.gauges_heard},
+                                    {"gauges", e.reports},
+                                    {"gauges_heard", e.changed_reports},
                                     {"second_answers", e.second_answers},
                                     {"unknown_answers", e.unknown_answers},
                                     {"late_answers", e.late_answers},
                                     {"unknown_ends", e.unknown_ends},
-                                    {"open_links", exchange_connections_->links()},
-                                    {"legs", exchange_connections_->legs()},
-                                    {"listed", exchange_connections_->listed()},
+                                    {"open_links", exchange_connections_->connection_count()},
+                                    {"legs", exchange_connections_->call_leg_count()},
+                                    {"listed", exchange_connections_->exchange_count()},
                                     {"lost_exchanges", e.lost_exchanges},
                                     {"liveness_connects", e.liveness_connects},
                                     {"liveness_probes", e.liveness_probes},
-                                    {"doubts", e.doubts},
-                                    {"doubts_cleared", e.doubts_cleared},
+                                    {"doubts", e.suspicions},
+                                    {"doubts_cleared", e.suspicions_cleared},
                                     {"given_up_silent", e.given_up_silent},
                                     {"given_up_replaced", e.given_up_replaced},
                                     {"no_room", e.no_room},
                                     {"early_ends", e.early_ends},
-                                    {"unreachable", exchange_connections_->unreachable()},
-                                    {"standing_unreachable", exchange_connections_->standing_unreachable()},
+                                    {"unreachable", exchange_connections_->unreachable_exchanges()},
+                                    {"standing_unreachable", exchange_connections_->calls_at_unreachable_exchanges()},
                                     {"longest_silence_ms", exchange_connections_->longest_silence() / 1000}}},
                                   {"core",
                                    {{"offered", k.offered},
@@ -230,14 +240,14 @@
                                     {"events", b.events},
                                     {"repeated", b.repeated},
                                     {"unreadable", b.unreadable},
-                                    {"last", discovery_client_->last()}}}};
-  return figures.dump();
+                                    {"last", discovery_client_->last_number()}}}};
+  return metrics.dump();
 }
 
-void Node::TellFigures() {
-  figures_.Start(kFiguresEvery, [this] {
+void Node::StartMetricsTimer() {
+  metrics_timer_.Start(kMetricsInterval, [this] {
     log_->Write(core::LogLevel::kInfo, "figures", 0, Metrics());
-    TellFigures();
+    StartMetricsTimer();
   });
 }
 
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -1,4 +1,5 @@
-// One softswitch on the platform: callers, exchanges and the notice board around the call core.
+// A softswitch on the users' platform: the call core with its connections to callers, exchanges and the discovery
+// service.
 #ifndef CROFTRUN_PLATFORM_NODE_H_
 #define CROFTRUN_PLATFORM_NODE_H_
 
@@ -15,26 +16,27 @@
 
 class Node {
  public:
-  // Applies what is known and listens. An address that is still bound (by a process that is just ending) is tried again
-  // for a while, from the loop; throws std::system_error where it cannot be had.
+  // Applies the known directory and starts to listen. If the address is still in use by a process that is shutting
+  // down, binding is retried for a while in the event loop. Throws std::system_error if it fails otherwise.
   Node(const NodeConfig& config, core::Runtime* runtime, core::Logger* log);
 
-  // A configuration that replaces the one in force: where the board is, and what it has told meanwhile.
+  // Applies a new configuration: the address of the discovery service and the notifications it has sent in the
+  // meantime.
   void Reconfigure(const NodeConfig& config);
-  // In order: what still arrives is taken and answered for a while, then refused at once; `done` is called when all is
-  // answered, the callers' connections are closed and nothing more comes.
-  void Stop(std::function<void()> done);
+  // Shuts down in an orderly way: new calls are accepted and answered for a while and then rejected. Calls `on_stopped`
+  // when all calls are answered, the callers' connections are closed and no more data arrives.
+  void Stop(std::function<void()> on_stopped);
 
   core::CallCore& core() { return *core_; }
   CallerConnections& callers() { return *caller_connections_; }
   ExchangeConnections& exchanges() { return *exchange_connections_; }
-  // All counters, as one line of JSON.
+  // Returns all counters as one line of JSON.
   std::string Metrics() const;
 
  private:
-  void TellFigures();
-  void Listen(int tries);
-  void WaitForEnd();
+  void StartMetricsTimer();
+  void Listen(int retries_left);
+  void ContinueShutdown();
 
   core::Runtime* runtime_;
   core::Logger* log_;
@@ -42,12 +44,12 @@
   std::unique_ptr<ExchangeConnections> exchange_connections_;
   std::unique_ptr<CallerConnections> caller_connections_;
   std::unique_ptr<DiscoveryClient> discovery_client_;
-  core::Timer figures_, end_, bind_;
-  TimeUs longest_deadline_ = 0;  // of all classes
-  TimeUs stopping_since_ = 0, last_open_ = 0;
-  TimeUs last_moment_ = 0;  // of a stop: connections are closed though calls stand on them
-  std::string settings_;    // as they were read at the start
-  std::function<void()> done_;
+  core::Timer metrics_timer_, shutdown_timer_, bind_timer_;
+  TimeUs max_deadline_ = 0;  // longest deadline of all classes
+  TimeUs stop_requested_at_ = 0, last_busy_at_ = 0;
+  TimeUs force_close_at_ = 0;  // from here on, connections are closed although they have established calls
+  std::string settings_text_;  // as read at the start
+  std::function<void()> on_stopped_;
 };
 
 }  // namespace croftrun::platform
--- a/src/platform/node_config.cpp
+++ b/src/platform/node_config.cpp
@@ -13,10 +13,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostTargets = 4096;
-constexpr std::size_t kMostUid = 128;
+constexpr std::size_t kMaxTargets = 4096;
+constexpr std::size_t kMaxUidLength = 128;
 
-std::string Scalar(const json& value) {
+std::string ScalarText(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.is_null() ? std::string() : value.dump();
   for (char& c : text) {
     if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
@@ -31,15 +31,15 @@
     return;
   }
   if (!value.is_array()) {
-    *lines += path + "=" + Scalar(value) + "\n";
+    *lines += path + "=" + ScalarText(value) + "\n";
     return;
   }
   const bool nested = std::any_of(value.begin(), value.end(), [](const json& x) { return x.is_structured(); });
   if (!nested) {
     std::string joined;
-    for (const json& item : value) joined += (joined.empty() ? "" : ",") + Scalar(item);
+    for (const json& item : value) joined += (joined.empty() ? "" : ",") + ScalarText(item);
     *lines += path + "=" + joined + "\n";
-    // An empty list may be one of objects.
+    // An empty list may also be an empty list of objects.
     if (value.empty()) *lines += path + ".count=0\n";
     return;
   }
@@ -53,8 +53,8 @@
   if (found == object.end()) return std::nullopt;
   if (found->is_number()) return found->get<double>();
   if (!found->is_string()) return std::nullopt;
-  constexpr double kMost = std::numeric_limits<double>::max();
-  return ParseNumber(found->get_ref<const std::string&>(), -kMost, kMost);
+  constexpr double kMax = std::numeric_limits<double>::max();
+  return ParseNumber(found->get_ref<const std::string&>(), -kMax, kMax);
 }
 
 std::string TextAt(const json& object, const char* key) {
@@ -63,11 +63,11 @@
   return found->is_string() ? found->get<std::string>() : found->is_number() ? found->dump() : std::string();
 }
 
-std::optional<Target> ParseTarget(const json& entry, std::string* why) {
+std::optional<Target> ParseTarget(const json& entry, std::string* error) {
   Target target;
-  if (!entry.is_object()) return *why = "expected an object in targets", std::nullopt;
+  if (!entry.is_object()) return *error = "expected an object in targets", std::nullopt;
   target.uid = TextAt(entry, "uid");
-  if (target.uid.empty() || target.uid.size() > kMostUid) return *why = "expected an id in uid", std::nullopt;
+  if (target.uid.empty() || target.uid.size() > kMaxUidLength) return *error = "expected an id in uid", std::nullopt;
   const std::string state = TextAt(entry, "state"), endpoint = TextAt(entry, "endpoint");
   if (state == "Ready") {
     target.status = ExchangeStatus::kReady;
@@ -76,58 +76,59 @@
   } else if (state == "Gone") {
     target.status = ExchangeStatus::kGone;
   } else {
-    return *why = "expected Ready, Terminating or Gone in state, found '" + state + "'", std::nullopt;
+    return *error = "expected Ready, Terminating or Gone in state, found '" + state + "'", std::nullopt;
   }
   if (!core::ParseAddress(endpoint, &target.address) && target.status != ExchangeStatus::kGone)
-    return *why = "expected address:port in endpoint, found '" + endpoint + "'", std::nullopt;
+    return *error = "expected address:port in endpoint, found '" + endpoint + "'", std::nullopt;
   target.zone = TextAt(entry, "az");
   target.kind = TextAt(entry, "model");
   const auto number = NumberAt(entry, "pod_group");
-  if (number && (*number < 0 || *number > 65535)) return *why = "expected 0 to 65535 in pod_group", std::nullopt;
+  if (number && (*number < 0 || *number > 65535)) return *error = "expected 0 to 65535 in pod_group", std::nullopt;
   target.number = number ? static_cast<int>(*number) : -1;
   target.rating = NumberAt(entry, "capacity_hint").value_or(1.0);
   const double boot = NumberAt(entry, "boot_ms").value_or(0.0);
-  if (!(boot >= 0.0 && boot < 1e15)) return *why = "expected milliseconds in boot_ms", std::nullopt;
+  if (!(boot >= 0.0 && boot < 1e15)) return *error = "expected milliseconds in boot_ms", std::nullopt;
   target.boot_ms = static_cast<std::int64_t>(boot);
   return target;
 }
 
-class Reader {
+class ConfigReader {
  public:
-  Reader(const json& root, std::vector<config::Mistake>* mistakes) : root_(root), mistakes_(mistakes) {}
+  ConfigReader(const json& root, std::vector<config::Mistake>* mistakes) : root_(root), mistakes_(mistakes) {}
   const json* At(const std::string& path) const {
     const json::json_pointer pointer(path);
     return root_.contains(pointer) ? &root_.at(pointer) : nullptr;
   }
-  void Wrong(const std::string& path, const std::string& expected) {
+  void AddMistake(const std::string& path, const std::string& expected) {
     const json* found = At(path);
     std::string text = found == nullptr ? "nothing" : found->dump(-1, ' ', false, json::error_handler_t::replace);
     if (text.size() > 80) text = text.substr(0, 80) + "...";
     mistakes_->push_back({path, "expected " + expected + ", found " + text});
   }
-  void Address(const std::string& path, const std::string& stand_in, core::Address* out) {
+  void ReadAddress(const std::string& path, const std::string& default_value, core::Address* result) {
     const json* value = At(path);
-    const std::string text = value != nullptr && value->is_string() ? value->get<std::string>() : stand_in;
-    if ((value != nullptr && !value->is_string()) || !core::ParseAddress(text, out)) Wrong(path, "address:port");
+    const std::string text = value != nullptr && value->is_string() ? value->get<std::string>() : default_value;
+    if ((value != nullptr && !value->is_string()) || !core::ParseAddress(text, result))
+      AddMistake(path, "address:port");
   }
-  void Count(const std::string& path, std::size_t least, std::size_t most, std::size_t* out) {
+  void ReadCount(const std::string& path, std::size_t min, std::size_t max, std::size_t* result) {
     const json* value = At(path);
     if (value == nullptr) return;
     const double number = value->is_number() ? value->get<double>() : -1.0;
-    if (!(number >= static_cast<double>(least) && number <= static_cast<double>(most)))
-      return Wrong(path, "a number from " + std::to_string(least) + " to " + std::to_string(most));
-    *out = static_cast<std::size_t>(number);
+    if (!(number >= static_cast<double>(min) && number <= static_cast<double>(max)))
+      return AddMistake(path, "a number from " + std::to_string(min) + " to " + std::to_string(max));
+    *result = static_cast<std::size_t>(number);
   }
-  void Time(const std::string& path, TimeUs* out) {
-    std::size_t value = *out;
-    Count(path, 0, 1'000'000'000'000, &value);
-    *out = value;
+  void ReadTime(const std::string& path, TimeUs* result) {
+    std::size_t value = *result;
+    ReadCount(path, 0, 1'000'000'000'000, &value);
+    *result = value;
   }
-  std::vector<std::string> Names(const std::string& path) {
+  std::vector<std::string> ReadNames(const std::string& path) {
     std::vector<std::string> names;
     const json* value = At(path);
     if (value == nullptr || !value->is_array()) return names;
-    for (const json& item : *value) names.push_back(Scalar(item));
+    for (const json& item : *value) names.push_back(ScalarText(item));
     return names;
   }
 
@@ -138,25 +139,26 @@
 
 }  // namespace
 
-std::optional<Notice> ParseNotice(const json& event, std::uint64_t number, std::string* why) {
-  if (!event.is_object()) return *why = "expected an object", std::nullopt;
+std::optional<DirectoryNotification> ParseDirectoryNotification(const json& event, std::uint64_t number,
+                                                                std::string* error) {
+  if (!event.is_object()) return *error = "expected an object", std::nullopt;
   const auto pool = event.find("pool");
   const json& body = pool != event.end() ? *pool : event;
   const auto targets = body.is_object() ? body.find("targets") : body.end();
-  if (!body.is_object() || targets == body.end() || !targets->is_array() || targets->size() > kMostTargets)
-    return *why = "expected a list in targets", std::nullopt;
-  Notice notice;
+  if (!body.is_object() || targets == body.end() || !targets->is_array() || targets->size() > kMaxTargets)
+    return *error = "expected a list in targets", std::nullopt;
+  DirectoryNotification notification;
   const double stated = NumberAt(event, "rev").value_or(0.0);
-  if (!(stated >= 0.0 && stated < 1e15)) return *why = "expected a number in rev", std::nullopt;
-  notice.number = number != 0 ? number : static_cast<std::uint64_t>(stated);
-  const auto whole = body.find("all");
-  notice.whole = whole != body.end() && whole->is_boolean() && whole->get<bool>();
+  if (!(stated >= 0.0 && stated < 1e15)) return *error = "expected a number in rev", std::nullopt;
+  notification.number = number != 0 ? number : static_cast<std::uint64_t>(stated);
+  const auto all = body.find("all");
+  notification.is_full = all != body.end() && all->is_boolean() && all->get<bool>();
   for (const json& entry : *targets) {
-    auto target = ParseTarget(entry, why);
+    auto target = ParseTarget(entry, error);
     if (!target) return std::nullopt;
-    notice.targets.push_back(std::move(*target));
+    notification.targets.push_back(std::move(*target));
   }
-  return notice;
+  return notification;
 }
 
 std::string FlattenSettings(const json& settings) {
@@ -171,54 +173,54 @@
   const json root = json::parse(text, nullptr, false);
   if (!root.is_object()) {
     mistakes->push_back(
-        {"", "expected one JSON object, found " + std::to_string(text.size()) + " octets that are none"});
+        {"", "expected one JSON object, found " + std::to_string(text.size()) + " octets of other text"});
     return config;
   }
-  Reader reader(root, mistakes);
+  ConfigReader reader(root, mistakes);
   const json* own_name = reader.At("/name");
   config.name = own_name != nullptr && own_name->is_string() ? own_name->get<std::string>() : name;
-  reader.Address("/listen", listen, &config.listen);
-  reader.Address("/board", "", &config.board);
+  reader.ReadAddress("/listen", listen, &config.listen);
+  reader.ReadAddress("/board", "", &config.discovery_address);
   if (const json* seed = reader.At("/seed")) {
-    const std::string digits = Scalar(*seed);
+    const std::string digits = ScalarText(*seed);
     const int base = seed->is_string() ? 16 : 10;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), config.seed, base);
-    if (error != std::errc() || end != digits.data() + digits.size()) reader.Wrong("/seed", "up to 16 hex digits");
+    if (error != std::errc() || end != digits.data() + digits.size()) reader.AddMistake("/seed", "up to 16 hex digits");
   }
-  reader.Count("/limits/memory_mb", 1, 1U << 20U, &config.memory_mb);
-  reader.Count("/limits/sockets", 64, 1U << 20U, &config.sockets);
+  reader.ReadCount("/limits/memory_mb", 1, 1U << 20U, &config.memory_mb);
+  reader.ReadCount("/limits/sockets", 64, 1U << 20U, &config.sockets);
   const json* settings = reader.At("/settings");
   for (const char* const part : {"settings", "limits"}) {
-    if (root.contains(part)) config.settings += FlattenSettings(root.at(part));
+    if (root.contains(part)) config.settings_text += FlattenSettings(root.at(part));
   }
   if (settings == nullptr || !settings->is_object()) {
-    reader.Wrong("/settings", "an object");
+    reader.AddMistake("/settings", "an object");
   } else {
     try {
       config.module = wire::ParseSettings(FlattenSettings(*settings));
     } catch (const wire::BadSetting& error) {
       mistakes->push_back({"/settings", error.what()});
     }
-    config.zones = reader.Names("/settings/localities");
-    config.kinds = reader.Names("/settings/flavors");
-    config.figures = reader.Names("/settings/report/fields");
-    reader.Time("/settings/allowed/connect_timeout_us", &config.connect_timeout_us);
-    reader.Time("/settings/contract/grace_to_answer_us", &config.grace_us);
+    config.zones = reader.ReadNames("/settings/localities");
+    config.kinds = reader.ReadNames("/settings/flavors");
+    config.report_fields = reader.ReadNames("/settings/report/fields");
+    reader.ReadTime("/settings/allowed/connect_timeout_us", &config.connect_timeout_us);
+    reader.ReadTime("/settings/contract/grace_to_answer_us", &config.answer_grace_us);
   }
   if (const json* known = reader.At("/known")) {
-    const auto notices = known->is_object() ? known->find("notices") : known->end();
-    if (!known->is_object() || notices == known->end() || !notices->is_array()) {
-      reader.Wrong("/known", "an object with a list of notices");
+    const auto notifications = known->is_object() ? known->find("notices") : known->end();
+    if (!known->is_object() || notifications == known->end() || !notifications->is_array()) {
+      reader.AddMistake("/known", "an object with a list of notices");
     } else {
-      config.known_number = static_cast<std::uint64_t>(std::max(0.0, NumberAt(*known, "rev").value_or(0.0)));
+      config.known_event_number = static_cast<std::uint64_t>(std::max(0.0, NumberAt(*known, "rev").value_or(0.0)));
       std::size_t index = 0;
-      for (const json& event : *notices) {
-        std::string why;
-        auto notice = ParseNotice(event, 0, &why);
-        if (!notice) {
-          mistakes->push_back({"/known/notices/" + std::to_string(index), why});
+      for (const json& event : *notifications) {
+        std::string error;
+        auto notification = ParseDirectoryNotification(event, 0, &error);
+        if (!notification) {
+          mistakes->push_back({"/known/notices/" + std::to_string(index), error});
         } else {
-          config.known.push_back(std::move(*notice));
+          config.known_notifications.push_back(std::move(*notification));
         }
         ++index;
       }
--- a/src/platform/pending_releases.h
+++ b/src/platform/pending_releases.h
@@ -1,23 +1,24 @@
-// Releases of calls that are over, on their way to callers: those that wait for a connection of their caller, and those
-// that were written and whose caller may not have read them.
+// Releases of ended calls on their way to callers: those that wait for a connection of their caller, and those that
+// were written but may not have been read.
 //
-// The end of a call is told once: it counts as told when its release is written on a connection of its caller, who is
-// known by its host. An acknowledgement (`ack`) is free, so that its absence proves nothing; a release is told again,
-// on another connection and three times in all, only where it may never have been read. What a written release becomes,
-// in one place (PendingReleases::Unread), by what became of its connection:
+// A release is normally sent once: it counts as delivered when it is written on a connection of its caller, who is
+// identified by the host address. An acknowledgement (`ack`) is optional, so its absence proves nothing. A release is
+// sent again, on another connection and at most three times in total, only if it may never have been read. This table,
+// implemented by PendingReleases::MayBeUnread and Expire, shows what happens to a written release, depending on its
+// connection:
 //
 //   its connection                     the call's own      another one of the host
-//   open, acknowledged                 told                told
-//   open, no acknowledgement in 2 s    waits if the host acknowledges releases, else told
-//   closed here, all written           told                waits if the host acknowledges, else told
-//   closed here, octets unwritten      waits               waits
-//   closed by the far end in 0.2 s     waits if the host acknowledges, else told
-//   closed by the far end later        told                waits if the host acknowledges, else told
+//   open, acknowledged                 delivered           delivered
+//   open, no acknowledgement in 2 s    waits if the host acknowledges releases, else delivered
+//   closed here, all written           delivered           waits if the host acknowledges, else delivered
+//   closed here, unwritten data        waits               waits
+//   closed by the peer within 0.2 s    waits if the host acknowledges, else delivered
+//   closed by the peer later           delivered           waits if the host acknowledges, else delivered
 //   reset within 0.2 s                 waits               waits
-//   reset later                        told                waits if the host acknowledges, else told
+//   reset later                        delivered           waits if the host acknowledges, else delivered
 //
-// The call's own connection is that of its set-up or announcement: who reads there is the caller. On another one of the
-// host it may be somebody else, who does not know the call.
+// The call's own connection is that of its set-up or announcement: its reader is the caller. The reader of another
+// connection of the host may be another client that does not know the call.
 #ifndef CROFTRUN_PLATFORM_PENDING_RELEASES_H_
 #define CROFTRUN_PLATFORM_PENDING_RELEASES_H_
 
@@ -33,61 +34,62 @@
 
 namespace croftrun::platform {
 
-// Connections of callers are told apart by number.
+// Number that identifies a connection of a caller.
 using ConnectionNumber = std::uint64_t;
 
-// How a caller's connection came to its end.
+// How the connection of a caller ended.
 enum class ConnectionEnd : std::uint8_t {
-  kClosedHere,       // in order, all octets written
-  kClosedUnwritten,  // here, though the far end had not taken all octets
-  kFarEndClosed,     // in order
-  kFarEndReset,
+  kClosedLocally,            // closed here after all data was written
+  kClosedWithUnwrittenData,  // closed here before the peer accepted all data
+  kPeerClosed,               // in order
+  kPeerReset,
 };
 
-// Whose connection a release was written on.
-enum class ReadBy : std::uint8_t {
-  kCaller,  // the one of the call's set-up or announcement
-  kHost,    // another one of the caller's host
+// The client that reads the connection on which a release was written.
+enum class Recipient : std::uint8_t {
+  kCaller,  // the caller: it is the connection of the call's set-up or announcement
+  kHost,    // any client on the caller's host
 };
 
 struct PendingRelease {
   std::uint32_t host = 0;
-  std::string id;         // of the call
-  std::string line;       // the message
-  TimeUs since = 0;       // the call's end
-  TimeUs written_at = 0;  // 0: it waits
+  std::string id;            // of the call
+  std::string line;          // the message
+  TimeUs call_ended_at = 0;  // when the call ended
+  TimeUs written_at = 0;     // 0: waiting for a connection
   ConnectionNumber written_on = 0;
-  ReadBy read_by = ReadBy::kHost;
-  std::set<ConnectionNumber> tried = {};  // connections that it was written on
+  Recipient recipient = Recipient::kHost;
+  std::set<ConnectionNumber> tried_connections = {};  // connections it was written on
 };
 
 class PendingReleases {
  public:
-  // One that found no connection.
-  void Wait(PendingRelease release);
-  // One that was written on a connection just now.
-  void Written(PendingRelease release, ConnectionNumber connection, ReadBy read_by, TimeUs now);
-  // Those that wait for this host and were not written on this connection; they count as written on it from now on.
-  std::vector<PendingRelease> TakeFor(std::uint32_t host, ConnectionNumber connection, TimeUs now);
-  bool WaitsFor(std::uint32_t host) const;
+  // Adds a release that found no connection.
+  void Enqueue(PendingRelease release);
+  // Adds a release that has just been written on a connection.
+  void OnWritten(PendingRelease release, ConnectionNumber connection, Recipient recipient, TimeUs now);
+  // Returns the waiting releases for this host that have not been written on this connection yet, and records them as
+  // written on it.
+  std::vector<PendingRelease> TakeWaiting(std::uint32_t host, ConnectionNumber connection, TimeUs now);
+  bool HasWaiting(std::uint32_t host) const;
   // The host acknowledged the release of this call.
   void OnAcknowledged(std::uint32_t host, const std::string& id);
   void OnConnectionEnded(ConnectionNumber connection, ConnectionEnd end, TimeUs now);
-  // Puts back what was not acknowledged in time, forgets what is told or too old; says how many of those that waited
-  // were given up.
+  // Requeues releases that were not acknowledged in time and removes the delivered and the expired ones. Returns the
+  // number of waiting releases that were dropped.
   std::size_t Expire(TimeUs now);
-  std::size_t waiting() const;
+  std::size_t waiting_count() const;
 
  private:
-  bool Acknowledges(std::uint32_t host) const { return acknowledging_.count(host) > 0; }
-  // Whether a release whose connection came to this end may never have been read.
-  bool Unread(const PendingRelease& release, ConnectionEnd end, TimeUs now) const;
-  // It is told, or waits to be told again if there is a try left.
-  std::list<PendingRelease>::iterator Settle(std::list<PendingRelease>::iterator release, bool unread);
+  bool HostAcknowledges(std::uint32_t host) const { return acknowledging_hosts_.count(host) > 0; }
+  // Returns whether a release may never have been read, given how its connection ended.
+  bool MayBeUnread(const PendingRelease& release, ConnectionEnd end, TimeUs now) const;
+  // Removes the release as delivered, or lets it wait again if it may be unread and a try is left.
+  std::list<PendingRelease>::iterator FinishOrRequeue(std::list<PendingRelease>::iterator release, bool may_be_unread);
 
-  std::list<PendingRelease> releases_;  // the oldest first
-  std::unordered_set<std::uint32_t> acknowledging_;
-  std::size_t given_up_ = 0;
+  std::list<PendingRelease> releases_;  // oldest first
+  std::unordered_set<std::uint32_t> acknowledging_hosts_;
+  std::size_t dropped_ = 0;
 };
 
 }  // namespace croftrun::platform
--- a/src/platform/release_meaning.cpp
+++ b/src/platform/release_meaning.cpp
@@ -4,7 +4,7 @@
 
 namespace croftrun::platform {
 
-core::AttemptResult MeaningOf(int cause, const std::string& note) {
+core::AttemptResult AttemptResultOf(int cause, const std::string& note) {
   switch (cause) {
     case kNoCircuit:
       if (note == "via_said_no") return {Outcome::kRejected, RejectCause::kCrankback};
@@ -22,10 +22,10 @@
   }
 }
 
-core::ReleaseInfo InfoOf(const core::AttemptResult& meaning, core::ReleaseCause cause) {
+core::ReleaseInfo MakeReleaseInfo(const core::AttemptResult& result, core::ReleaseCause cause) {
   core::ReleaseInfo info;
   info.cause = cause;
-  info.attempt_result = meaning;
+  info.attempt_result = result;
   return info;
 }
 
--- a/src/platform/release_meaning.h
+++ b/src/platform/release_meaning.h
@@ -1,5 +1,5 @@
-// What the end of a set-up means to the module: by the cause and the note of an exchange's release, or by what became
-// of its connection. The table stands in docs/platform.md, "What an event means".
+// Maps the end of a set-up to the result that is reported to the decision module, either from the cause and note of a
+// release or from the end of the connection. The table is in docs/platform.md, "What an event means".
 #ifndef CROFTRUN_PLATFORM_RELEASE_MEANING_H_
 #define CROFTRUN_PLATFORM_RELEASE_MEANING_H_
 
@@ -9,17 +9,18 @@
 
 namespace croftrun::platform {
 
-// It broke: it may have run.
+// The connection broke after the set-up was sent, so the exchange may have processed it.
 inline constexpr core::AttemptResult kReset{Outcome::kReset, RejectCause::kNone};
-// No connection came up: it never ran.
-inline constexpr core::AttemptResult kNeverRan{Outcome::kConnectFailed, RejectCause::kNone};
-// The same, and other connections show that the exchange lives.
+// No connection was established, so the set-up was not sent.
+inline constexpr core::AttemptResult kNotConnected{Outcome::kConnectFailed, RejectCause::kNone};
+// Likewise, while other connections show that the exchange is alive.
 inline constexpr core::AttemptResult kConnectionLost{Outcome::kConnectFailed, RejectCause::kConnectionLost};
 
-// What a release before the answer means. `note` may be empty; an unknown cause is a reset.
-core::AttemptResult MeaningOf(int cause, const std::string& note);
+// Returns the result of a set-up that was released before its answer. `note` may be empty. An unknown cause is treated
+// as a reset.
+core::AttemptResult AttemptResultOf(int cause, const std::string& note);
 
-core::ReleaseInfo InfoOf(const core::AttemptResult& meaning, core::ReleaseCause cause);
+core::ReleaseInfo MakeReleaseInfo(const core::AttemptResult& result, core::ReleaseCause cause);
 
 }  // namespace croftrun::platform
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,5 +1,5 @@
-// What may come between two lines: pairs of events in both orders and in one turn, on virtual time. Each call that a
-// test takes is accounted for: one final answer, one attempt out, nothing left standing.
+// Tests races between two messages: pairs of events in both orders and in one turn of the event loop, on virtual time.
+// Each accepted call is accounted for: one final answer, at most one outstanding attempt, no call left over.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -35,288 +35,293 @@
 
 // ---- clients that leave ----
 
-TEST_F(CrossingsTest, ASetUpTakenBackBehindItInTheSameOctetsIsNeverSentOn) {
-  const auto caller = Caller();
-  caller->Raw(SetUpLine(kCall, 1) + ReleaseLine(kCall) + SetUpLine(kOther, 1));
+TEST_F(CrossingsTest, DropsSetUpReleasedInSameData) {
+  const auto caller = ConnectCaller();
+  caller->SendRaw(SetUpLine(kCall, 1) + ReleaseLine(kCall) + SetUpLine(kOtherCall, 1));
   runtime_.RunFor(5 * kMs);
-  ASSERT_EQ(one_.Heard(MessageType::kSetUp).size(), 1U);
-  EXPECT_EQ(one_.Heard(MessageType::kSetUp)[0].id, kOther);
-  EXPECT_TRUE(caller->For(kCall).empty());
-  EXPECT_EQ(caller->For(kOther).size(), 1U);
-  EXPECT_EQ(node_->callers().unanswered(), 0U);
+  ASSERT_EQ(exchange_1_.Received(MessageType::kSetUp).size(), 1U);
+  EXPECT_EQ(exchange_1_.Received(MessageType::kSetUp)[0].id, kOtherCall);
+  EXPECT_TRUE(caller->FinalMessages(kCall).empty());
+  EXPECT_EQ(caller->FinalMessages(kOtherCall).size(), 1U);
+  EXPECT_EQ(node_->callers().unanswered_set_ups(), 0U);
 }
 
-TEST_F(CrossingsTest, ASetUpBeforeALineThatEndsItsConnectionIsNeverSentOn) {
-  const auto caller = Caller();
-  caller->Raw(SetUpLine(kCall, 1) + "nonsense\n");
+TEST_F(CrossingsTest, DropsSetUpFollowedByInvalidLine) {
+  const auto caller = ConnectCaller();
+  caller->SendRaw(SetUpLine(kCall, 1) + "nonsense\n");
   runtime_.RunFor(5 * kMs);
-  EXPECT_TRUE(caller->link.end.has_value());
-  EXPECT_TRUE(one_.Heard(MessageType::kSetUp).empty());
+  EXPECT_TRUE(caller->connection.end.has_value());
+  EXPECT_TRUE(exchange_1_.Received(MessageType::kSetUp).empty());
   EXPECT_EQ(node_->callers().open_calls(), 0U);
   EXPECT_EQ(node_->core().open_calls(), 0U);
 }
 
-TEST_F(CrossingsTest, NoAttemptBeginsForACallThatWaitedWhenItsCallerLeft) {
-  // Waits, each with the end of its caller in it: for a circuit, and for the release after a reset.
-  for (const bool full : {true, false}) {
-    int asked = 0;
-    one_.on_set_up = [&asked](PlatformLink& link, const Message&) {
-      ++asked;
-      link.Break();
+TEST_F(CrossingsTest, StartsNoAttemptForWaitingCallAfterCallerLeft) {
+  // The caller leaves while the call waits for a circuit, and while it waits for the release after a reset.
+  for (const bool no_circuit_free : {true, false}) {
+    int attempts = 0;
+    exchange_1_.on_set_up = [&attempts](PlatformConnection& connection, const Message&) {
+      ++attempts;
+      connection.Reset();
     };
-    for (PlatformLink* const link : one_.OpenLinks())
-      link->Send({.type = MessageType::kGauge,
-                  .id = "0000000000000000",
-                  .fields = {{"load", full ? "spare:0;total:20" : "spare:20;total:20"}}});
-    for (PlatformLink* const link : two_.OpenLinks())
-      link->Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:0;total:20"}}});
+    for (PlatformConnection* const connection : exchange_1_.OpenConnections())
+      connection->Send({.type = MessageType::kGauge,
+                        .id = "0000000000000000",
+                        .fields = {{"load", no_circuit_free ? "spare:0;total:20" : "spare:20;total:20"}}});
+    for (PlatformConnection* const connection : exchange_2_.OpenConnections())
+      connection->Send(
+          {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:0;total:20"}}});
     runtime_.RunFor(kMs);
-    auto caller = Caller();
-    caller->Raw(SetUpLine(full ? kOther : kCall, 1, full ? "a1" : "a2"));
+    auto caller = ConnectCaller();
+    caller->SendRaw(SetUpLine(no_circuit_free ? kOtherCall : kCall, 1, no_circuit_free ? "a1" : "a2"));
     runtime_.RunFor(50 * kMs);
-    EXPECT_EQ(asked, full ? 0 : 1);
-    EXPECT_EQ(node_->core().open_calls(), 1U) << full;
-    caller->link.stream.reset();
+    EXPECT_EQ(attempts, no_circuit_free ? 0 : 1);
+    EXPECT_EQ(node_->core().open_calls(), 1U) << no_circuit_free;
+    caller->connection.stream.reset();
     runtime_.RunFor(10 * kMs);
-    for (PlatformLink* const link : one_.OpenLinks())
-      link->Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:19;total:20"}}});
+    for (PlatformConnection* const connection : exchange_1_.OpenConnections())
+      connection->Send(
+          {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:19;total:20"}}});
     runtime_.RunFor(4'000 * kMs);
-    EXPECT_EQ(asked, full ? 0 : 1);
+    EXPECT_EQ(attempts, no_circuit_free ? 0 : 1);
     EXPECT_EQ(node_->core().open_calls(), 0U);
   }
 }
 
 // ---- callers' connections ----
 
-TEST_F(CrossingsTest, ALineThatNeverEndsCostsNoAnswerThatIsOwedOnItsConnection) {
+TEST_F(CrossingsTest, KeepsConnectionWithEndlessLineUntilPendingAnswerIsSent) {
   json config = ConfigJson();
-  config["settings"]["grades"][0]["slo_us"] = 8'000'000;  // an answer is in time long after a line is given up
+  config["settings"]["grades"][0]["slo_us"] = 8'000'000;  // longer than the timeout of an incomplete line
   std::vector<config::Mistake> mistakes;
   node_.reset();
   node_ = std::make_unique<Node>(ParseNodeConfig(config.dump(), "", "", &mistakes), &runtime_, &log_);
   runtime_.RunFor(50 * kMs);
-  Gauges();
-  PlatformLink* asked = nullptr;
-  one_.on_set_up = [&asked](PlatformLink& link, const Message&) { asked = &link; };
-  const auto caller = Caller();
+  SendReports();
+  PlatformConnection* pending_connection = nullptr;
+  exchange_1_.on_set_up = [&pending_connection](PlatformConnection& connection, const Message&) {
+    pending_connection = &connection;
+  };
+  const auto caller = ConnectCaller();
   caller->SetUp(kCall, 1, "", "9000");
-  caller->Raw("{\"t\":\"new\",");
+  caller->SendRaw("{\"t\":\"new\",");
   runtime_.RunFor(3'000 * kMs);
-  EXPECT_FALSE(caller->link.end.has_value());
-  ASSERT_NE(asked, nullptr);
-  PlatformExchange::Answer(*asked, kCall, "good");
+  EXPECT_FALSE(caller->connection.end.has_value());
+  ASSERT_NE(pending_connection, nullptr);
+  PlatformExchange::Answer(*pending_connection, kCall, "good");
   runtime_.RunFor(5 * kMs);
-  EXPECT_EQ(caller->For(kCall).size(), 1U);
+  EXPECT_EQ(caller->FinalMessages(kCall).size(), 1U);
   runtime_.RunFor(500 * kMs);
-  EXPECT_TRUE(caller->link.end.has_value());  // nothing is owed on it any more
+  EXPECT_TRUE(caller->connection.end.has_value());  // no answer is pending any more
 }
 
-TEST_F(CrossingsTest, AConnectionThatFindsNoRoomWaitsAndIsServedWhenThereIsSome) {
-  one_.on_set_up = [](PlatformLink&, const Message&) {};
-  for (PlatformLink* const link : one_.OpenLinks())
-    link->Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:200;total:200"}}});
+TEST_F(CrossingsTest, ServesWaitingConnectionOnceLimitAllowsIt) {
+  exchange_1_.on_set_up = [](PlatformConnection&, const Message&) {};
+  for (PlatformConnection* const connection : exchange_1_.OpenConnections())
+    connection->Send(
+        {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:200;total:200"}}});
   std::vector<std::unique_ptr<PlatformCaller>> busy;
-  while (node_->callers().links() < 68) {
-    busy.push_back(Caller());
+  while (node_->callers().connection_count() < 68) {
+    busy.push_back(ConnectCaller());
     busy.back()->SetUp(CallNumber(busy.size()), 1, "", "9000");
     runtime_.RunFor(kMs);
   }
-  ASSERT_EQ(node_->callers().unanswered(), 68U);
-  one_.on_set_up = [](PlatformLink& link, const Message& message) {
-    PlatformExchange::Answer(link, message.id, "good");
+  ASSERT_EQ(node_->callers().unanswered_set_ups(), 68U);
+  exchange_1_.on_set_up = [](PlatformConnection& connection, const Message& message) {
+    PlatformExchange::Answer(connection, message.id, "good");
   };
-  const auto next = Caller();
+  const auto next = ConnectCaller();
   next->SetUp(kCall, 1);
   runtime_.RunFor(100 * kMs);
-  EXPECT_FALSE(next->link.end.has_value());
-  EXPECT_TRUE(next->For(kCall).empty());
-  busy[3]->link.stream.reset();
+  EXPECT_FALSE(next->connection.end.has_value());
+  EXPECT_TRUE(next->FinalMessages(kCall).empty());
+  busy[3]->connection.stream.reset();
   runtime_.RunFor(50 * kMs);
-  ASSERT_EQ(next->For(kCall).size(), 1U);
-  EXPECT_EQ(next->For(kCall)[0].type, MessageType::kAnswer);
+  ASSERT_EQ(next->FinalMessages(kCall).size(), 1U);
+  EXPECT_EQ(next->FinalMessages(kCall)[0].type, MessageType::kAnswer);
 }
 
-TEST_F(CrossingsTest, IdleClientsThatFillTheRoomWhileTheBoardIsAwayKeepNobodyOut) {
+TEST_F(CrossingsTest, IdleClientsDoNotBlockOthersWhileDiscoveryIsDown) {
   json config = ConfigJson();
-  config["board"] = core::ToString(kOtherBoard);  // nothing listens there yet
+  config["board"] = core::ToString(kOtherDiscovery);  // no service listens there yet
   std::vector<config::Mistake> mistakes;
   node_.reset();
   node_ = std::make_unique<Node>(ParseNodeConfig(config.dump(), "", "", &mistakes), &runtime_, &log_);
   std::vector<std::unique_ptr<PlatformCaller>> idle;
-  for (int i = 0; i < 150; ++i) idle.push_back(Caller(0x7f000100U + static_cast<unsigned>(i)));
-  EXPECT_EQ(node_->callers().links(), 68U);
-  PlatformBoard other(&runtime_, kOtherBoard);
-  other.Keep(2, EventJson(2, false, json::array({TargetJson(2, "Terminating")})));
+  for (int i = 0; i < 150; ++i) idle.push_back(ConnectCaller(0x7f000100U + static_cast<unsigned>(i)));
+  EXPECT_EQ(node_->callers().connection_count(), 68U);
+  PlatformDiscovery other(&runtime_, kOtherDiscovery);
+  other.Store(2, EventJson(2, false, json::array({TargetJson(2, "Terminating")})));
   runtime_.RunFor(700 * kMs);
   EXPECT_EQ(Metrics(*node_)["board"]["last"], 2);
-  Gauges();
-  const auto usual = Caller();
+  SendReports();
+  const auto regular = ConnectCaller();
   runtime_.RunFor(200 * kMs);
-  Stand(*usual, kCall);
+  EstablishCall(*regular, kCall);
 }
 
-TEST_F(CrossingsTest, AtTheEndALineHalfSaidIsWaitedForAndAnswered) {
+TEST_F(CrossingsTest, ShutdownWaitsForPartialLine) {
   bool stopped = false;
-  const auto caller = Caller();
+  const auto caller = ConnectCaller();
   const std::string line = SetUpLine(kCall, 1);
-  caller->Raw(line.substr(0, 40));
+  caller->SendRaw(line.substr(0, 40));
   node_->Stop([&stopped] { stopped = true; });
   runtime_.RunFor(1'200 * kMs);
   EXPECT_FALSE(stopped);
-  EXPECT_FALSE(caller->link.end.has_value());
-  caller->Raw(line.substr(40));
+  EXPECT_FALSE(caller->connection.end.has_value());
+  caller->SendRaw(line.substr(40));
   runtime_.RunFor(5 * kMs);
-  ASSERT_EQ(caller->For(kCall).size(), 1U);
-  EXPECT_EQ(caller->For(kCall)[0].cause, 42);
+  ASSERT_EQ(caller->FinalMessages(kCall).size(), 1U);
+  EXPECT_EQ(caller->FinalMessages(kCall)[0].cause, 42);
   runtime_.RunFor(200 * kMs);
   EXPECT_TRUE(stopped);
 }
 
-TEST_F(CrossingsTest, AtTheEndNobodyIsWaitedForWithoutBound) {
+TEST_F(CrossingsTest, ShutdownTimeIsBounded) {
   bool stopped = false;
   std::vector<std::unique_ptr<PlatformCaller>> callers;
   node_->Stop([&stopped] { stopped = true; });
-  for (int i = 0; i < 60 && !stopped; ++i) {  // somebody always comes and says half a line
-    callers.push_back(Caller());
-    callers.back()->Raw("{\"t\":");
+  for (int i = 0; i < 60 && !stopped; ++i) {  // new clients keep arriving and send an incomplete line
+    callers.push_back(ConnectCaller());
+    callers.back()->SendRaw("{\"t\":");
     runtime_.RunFor(80 * kMs);
   }
   EXPECT_TRUE(stopped);
 }
 
-// ---- the list ----
+// ---- directory ----
 
-TEST_F(CrossingsTest, WhatIsMissingBeforeADeltaIsAskedForFromTheLastNumberThatHolds) {
-  board_.Keep(2, EventJson(2, false, json::array({TargetJson(2, "Terminating")})));
-  Tell(3, {TargetJson(1, "Terminating")});
+TEST_F(CrossingsTest, RequestsMissingEventsAfterLastAppliedOne) {
+  discovery_.Store(2, EventJson(2, false, json::array({TargetJson(2, "Terminating")})));
+  PublishChanges(3, {TargetJson(1, "Terminating")});
   runtime_.RunFor(100 * kMs);
-  EXPECT_EQ(board_.asked, (std::vector<std::string>{"1", "1"}));
+  EXPECT_EQ(discovery_.last_event_ids, (std::vector<std::string>{"1", "1"}));
   EXPECT_EQ(Metrics(*node_)["board"]["last"], 3);
-  const auto caller = Caller();
+  const auto caller = ConnectCaller();
   caller->SetUp(kCall, 1);
-  caller->SetUp(kOther, 2);
+  caller->SetUp(kOtherCall, 2);
   runtime_.RunFor(2'000 * kMs);
-  EXPECT_TRUE(one_.Heard(MessageType::kSetUp).empty());
-  EXPECT_TRUE(two_.Heard(MessageType::kSetUp).empty());
+  EXPECT_TRUE(exchange_1_.Received(MessageType::kSetUp).empty());
+  EXPECT_TRUE(exchange_2_.Received(MessageType::kSetUp).empty());
 }
 
-TEST_F(CrossingsTest, ADrainToldBeyondAGapHoldsAtOnceAndAGapNobodyCanFillIsPassedOver) {
-  board_.Write("id: 5\ndata: " +
-               EventJson(5, false, json::array({TargetJson(1, "Terminating"), TargetJson(2, "Ready")})) + "\n\n");
+TEST_F(CrossingsTest, AppliesDrainBeyondGapAtOnceAndSkipsPermanentGap) {
+  discovery_.Write("id: 5\ndata: " +
+                   EventJson(5, false, json::array({TargetJson(1, "Terminating"), TargetJson(2, "Ready")})) + "\n\n");
   runtime_.RunFor(kMs / 2);
-  const auto caller = Caller();
+  const auto caller = ConnectCaller();
   caller->SetUp(kCall, 1);
   runtime_.RunFor(100 * kMs);
-  EXPECT_TRUE(one_.Heard(MessageType::kSetUp).empty());
-  for (const std::uint64_t number : {5U, 6U}) Tell(number, {TargetJson(2, "Terminating")});
+  EXPECT_TRUE(exchange_1_.Received(MessageType::kSetUp).empty());
+  for (const std::uint64_t number : {5U, 6U}) PublishChanges(number, {TargetJson(2, "Terminating")});
   runtime_.RunFor(100 * kMs);
-  EXPECT_EQ(board_.asked, (std::vector<std::string>{"1", "1"}));
+  EXPECT_EQ(discovery_.last_event_ids, (std::vector<std::string>{"1", "1"}));
   EXPECT_EQ(Metrics(*node_)["board"]["last"], 6);
   EXPECT_EQ(Metrics(*node_)["board"]["gaps"], 1);
 }
 
-TEST_F(CrossingsTest, AnEventThatCannotBeReadIsAskedForOnceMoreAndNotForEver) {
-  board_.Keep(2, EventJson(2, false, json::array({TargetJson(1, "Terminating")})));
-  board_.Write("id: 2\ndata: {\"rev\":2,\"pool\":{}}\n\n");
+TEST_F(CrossingsTest, RequestsUnreadableEventOnlyOnceMore) {
+  discovery_.Store(2, EventJson(2, false, json::array({TargetJson(1, "Terminating")})));
+  discovery_.Write("id: 2\ndata: {\"rev\":2,\"pool\":{}}\n\n");
   runtime_.RunFor(100 * kMs);
-  EXPECT_EQ(board_.asked.size(), 2U);
+  EXPECT_EQ(discovery_.last_event_ids.size(), 2U);
   EXPECT_EQ(Metrics(*node_)["board"]["last"], 2);
-  board_.Tell(3, "nothing of use");
+  discovery_.Publish(3, "nothing of use");
   runtime_.RunFor(1'000 * kMs);
-  EXPECT_EQ(board_.asked.size(), 3U);
-  Tell(4, {TargetJson(1, "Ready")});
+  EXPECT_EQ(discovery_.last_event_ids.size(), 3U);
+  PublishChanges(4, {TargetJson(1, "Ready")});
   runtime_.RunFor(100 * kMs);
   EXPECT_EQ(Metrics(*node_)["board"]["last"], 4);
 }
 
-TEST_F(CrossingsTest, LateWordOfAnOldExchangeTakesNothingBackFromItsSuccessor) {
-  Tell(2, {TargetJson(1, "Ready", "s-new")});
+TEST_F(CrossingsTest, LateNotificationOfOldExchangeDoesNotAffectSuccessor) {
+  PublishChanges(2, {TargetJson(1, "Ready", "s-new")});
   runtime_.RunFor(5 * kMs);
-  Gauges();
+  SendReports();
   for (const std::uint64_t number : {3U, 5U}) {
-    Tell(number, {TargetJson(1, number == 3U ? "Terminating" : "Ready", "s-1")});
+    PublishChanges(number, {TargetJson(1, number == 3U ? "Terminating" : "Ready", "s-1")});
     runtime_.RunFor(5 * kMs);
     EXPECT_EQ(node_->exchanges().Find("s-1"), 0U);
     EXPECT_NE(node_->exchanges().Find("s-new"), 0U);
-    EXPECT_EQ(node_->exchanges().listed(), 3U);
-    EXPECT_EQ(one_.OpenLinks().size(), 1U);
-    Tell(number + 1, {TargetJson(2, "Ready")});
+    EXPECT_EQ(node_->exchanges().exchange_count(), 3U);
+    EXPECT_EQ(exchange_1_.OpenConnections().size(), 1U);
+    PublishChanges(number + 1, {TargetJson(2, "Ready")});
     runtime_.RunFor(5 * kMs);
   }
-  const auto caller = Caller();
-  Stand(*caller, kCall);
+  const auto caller = ConnectCaller();
+  EstablishCall(*caller, kCall);
 }
 
-TEST_F(CrossingsTest, AnExchangeThatComesBackAtItsAddressIsUsedAgain) {
-  Tell(2, {TargetJson(1, "Ready", "s-new")});
+TEST_F(CrossingsTest, UsesExchangeThatReturnsAtItsAddress) {
+  PublishChanges(2, {TargetJson(1, "Ready", "s-new")});
   const std::int64_t later = runtime_.WallClockUs() / 1000 + 1'000;
-  Tell(3, {TargetJson(1, "Gone", "s-new")});
-  Tell(4, {TargetJson(1, "Ready", "s-1", later)});
+  PublishChanges(3, {TargetJson(1, "Gone", "s-new")});
+  PublishChanges(4, {TargetJson(1, "Ready", "s-1", later)});
   runtime_.RunFor(5 * kMs);
   EXPECT_NE(node_->exchanges().Find("s-1"), 0U);
   EXPECT_EQ(node_->exchanges().Find("s-new"), 0U);
 }
 
-TEST_F(CrossingsTest, ADrainThatIsTakenBackServesAgain) {
-  Tell(2, {TargetJson(1, "Terminating")});
-  Tell(3, {TargetJson(1, "Ready")});
+TEST_F(CrossingsTest, UsesExchangeAfterDrainIsCancelled) {
+  PublishChanges(2, {TargetJson(1, "Terminating")});
+  PublishChanges(3, {TargetJson(1, "Ready")});
   runtime_.RunFor(5 * kMs);
-  const auto caller = Caller();
-  Stand(*caller, kCall);
+  const auto caller = ConnectCaller();
+  EstablishCall(*caller, kCall);
 }
 
 // ---- exchanges ----
 
-TEST_F(CrossingsTest, AReleaseThatWaitsForAConnectionDoesNotReachTheCallTakenOverUnderItsId) {
-  const auto caller = Caller();
-  Stand(*caller, kCall);
-  for (PlatformLink* const link : one_.OpenLinks()) link->Break();
-  // Both arrive after the break and before the next connection is up.
-  caller->Raw(ReleaseLine(kCall));
+TEST_F(CrossingsTest, QueuedReleaseDoesNotReachAdoptedCallWithSameId) {
+  const auto caller = ConnectCaller();
+  EstablishCall(*caller, kCall);
+  for (PlatformConnection* const connection : exchange_1_.OpenConnections()) connection->Reset();
+  // Both arrive after the reset and before the next connection is open.
+  caller->SendRaw(ReleaseLine(kCall));
   caller->SetUp(kCall, 1, ";at:s-1");
   runtime_.RunFor(50 * kMs);
-  ASSERT_FALSE(one_.OpenLinks().empty());
-  EXPECT_TRUE(one_.Heard(MessageType::kRelease).empty());
+  ASSERT_FALSE(exchange_1_.OpenConnections().empty());
+  EXPECT_TRUE(exchange_1_.Received(MessageType::kRelease).empty());
   EXPECT_EQ(node_->callers().open_calls(), 1U);
-  PlatformExchange::Release(*one_.OpenLinks()[0], kCall, 16);
+  PlatformExchange::Release(*exchange_1_.OpenConnections()[0], kCall, 16);
   runtime_.RunFor(5 * kMs);
-  ASSERT_EQ(caller->For(kCall).size(), 2U);
-  EXPECT_EQ(node_->exchanges().legs(), 0U);
+  ASSERT_EQ(caller->FinalMessages(kCall).size(), 2U);
+  EXPECT_EQ(node_->exchanges().call_leg_count(), 0U);
 }
 
-TEST_F(CrossingsTest, AConnectionOnWhichASetUpWasLostIsTheLastToBeOfferedUntilItSpeaks) {
-  one_.on_set_up = [](PlatformLink&, const Message&) {};
-  const auto caller = Caller();
+TEST_F(CrossingsTest, AvoidsUnresponsiveConnectionUntilDataArrives) {
+  exchange_1_.on_set_up = [](PlatformConnection&, const Message&) {};
+  const auto caller = ConnectCaller();
   caller->SetUp(kCall, 1);
-  caller->SetUp(kOther, 1);
+  caller->SetUp(kOtherCall, 1);
   runtime_.RunFor(5 * kMs);
-  ASSERT_EQ(one_.OpenLinks().size(), 2U);
-  PlatformLink* const silent = one_.OpenLinks()[0];
-  PlatformLink* const other = one_.OpenLinks()[1];
-  ASSERT_EQ(silent->heard.back().id, kCall);
+  ASSERT_EQ(exchange_1_.OpenConnections().size(), 2U);
+  PlatformConnection* const silent = exchange_1_.OpenConnections()[0];
+  PlatformConnection* const other = exchange_1_.OpenConnections()[1];
+  ASSERT_EQ(silent->received.back().id, kCall);
   caller->Release(kCall);
-  PlatformExchange::Answer(*other, kOther, "good");
+  PlatformExchange::Answer(*other, kOtherCall, "good");
   runtime_.RunFor(5 * kMs);
   caller->SetUp(CallNumber(1), 1);
   runtime_.RunFor(5 * kMs);
-  EXPECT_EQ(other->heard.back().id, CallNumber(1));
+  EXPECT_EQ(other->received.back().id, CallNumber(1));
   PlatformExchange::Answer(*other, CallNumber(1), "good");
   silent->Send({.type = MessageType::kHeard, .id = kCall});
   runtime_.RunFor(5 * kMs);
   caller->SetUp(CallNumber(2), 1);
   runtime_.RunFor(5 * kMs);
-  EXPECT_EQ(silent->heard.back().id, CallNumber(2));
-  EXPECT_EQ(one_.OpenLinks().size(), 2U);
+  EXPECT_EQ(silent->received.back().id, CallNumber(2));
+  EXPECT_EQ(exchange_1_.OpenConnections().size(), 2U);
 }
 
-// ---- the core and a caller who has left, though the word of it is still to come ----
+// ---- the core and a caller that has left before the notification of it arrives ----
 
-struct Leaver final : core::CallOwner {
-  void OnFinalAnswer(CallId, const core::FinalAnswer&) override { ++finals; }
+struct LeavingCaller final : core::CallOwner {
+  void OnFinalAnswer(CallId, const core::FinalAnswer&) override { ++final_answers; }
   void OnCallEnded(CallId, core::ReleaseCause) override {}
-  bool HasLeft(CallId) const override { return left; }
-  bool left = false;
-  int finals = 0;
+  bool HasLeft(CallId) const override { return has_left; }
+  bool has_left = false;
+  int final_answers = 0;
 };
 
 struct Trunks final : core::TrunkDriver {
@@ -329,12 +334,12 @@
   int released = 0;
 };
 
-class LeaverTest : public ::testing::TestWithParam<bool> {};
+class LeavingCallerTest : public ::testing::TestWithParam<bool> {};
 
-TEST_P(LeaverTest, NothingIsSentAndNothingStandsForHim) {
+TEST_P(LeavingCallerTest, SendsNothingAndKeepsNoCallForCallerThatLeft) {
   const bool before_sending = GetParam();
   sim::VirtualRuntime runtime(7);
-  NoLog log;
+  NullLogger log;
   std::vector<config::Mistake> mistakes;
   core::CoreSettings settings;
   settings.module = ParseNodeConfig(ConfigJson().dump(), "", "", &mistakes).module;
@@ -342,33 +347,33 @@
   core::CallCore core(settings, &runtime, &log);
   Trunks trunks;
   core.SetTrunks(&trunks);
-  DirectoryUpdate list;
-  list.entries = {{.exchange = 1, .number = 0}, {.exchange = 2, .number = 1}};
-  core.OnDirectory(list);
+  DirectoryUpdate directory;
+  directory.entries = {{.exchange = 1, .number = 0}, {.exchange = 2, .number = 1}};
+  core.OnDirectory(directory);
   core.OnGroupReport(2, {20.0F, 20.0F});
-  Leaver caller;
-  core::CallRequest offer;
-  offer.destination = 1;
-  offer.caller_timeout_us = 3'000 * kMs;
-  caller.left = before_sending;
-  const CallId call = core.AcceptCall(offer, &caller);
-  caller.left = true;
+  LeavingCaller caller;
+  core::CallRequest request;
+  request.destination = 1;
+  request.caller_timeout_us = 3'000 * kMs;
+  caller.has_left = before_sending;
+  const CallId call = core.AcceptCall(request, &caller);
+  caller.has_left = true;
   if (!before_sending) core.OnTrunkAnswered(call, 0);
   EXPECT_EQ(trunks.sent.size(), before_sending ? 0U : 1U);
   EXPECT_EQ(trunks.released, 1);
-  EXPECT_EQ(caller.finals, 0);
+  EXPECT_EQ(caller.final_answers, 0);
   EXPECT_EQ(core.open_calls(), 0U);
-  // The module was told of every end: the next call of another goes out as ever.
-  Leaver other;
-  core.AcceptCall(offer, &other);
+  // The decision module received the end of the call: the next call is sent as usual.
+  LeavingCaller other;
+  core.AcceptCall(request, &other);
   EXPECT_EQ(trunks.sent.size(), before_sending ? 1U : 2U);
 }
 
-INSTANTIATE_TEST_SUITE_P(BeforeSendingAndAtTheAnswer, LeaverTest, ::testing::Bool());
+INSTANTIATE_TEST_SUITE_P(BeforeSendingAndAtAnswer, LeavingCallerTest, ::testing::Bool());
 
-// ---- who wins: each pair of what can end a set-up, in both orders and in one turn ----
+// ---- pairs of events that can end a set-up, in both orders and in one turn of the event loop ----
 
-enum class What {
+enum class SetUpEvent {
   kAnswer,
   kRefusal,
   kError,
@@ -380,106 +385,112 @@
   kConnectionBreaks,
   kExchangeDies
 };
-constexpr What kAll[] = {What::kAnswer,           What::kRefusal,      What::kError, What::kReset,
-                         What::kCallerReleases,   What::kCallerCloses, What::kDrain, What::kGone,
-                         What::kConnectionBreaks, What::kExchangeDies};
+constexpr SetUpEvent kAllEvents[] = {
+    SetUpEvent::kAnswer,           SetUpEvent::kRefusal,      SetUpEvent::kError, SetUpEvent::kReset,
+    SetUpEvent::kCallerReleases,   SetUpEvent::kCallerCloses, SetUpEvent::kDrain, SetUpEvent::kGone,
+    SetUpEvent::kConnectionBreaks, SetUpEvent::kExchangeDies};
 
-class PairTest : public PlatformTest, public ::testing::WithParamInterface<std::tuple<What, What>> {
+class PairTest : public PlatformTest, public ::testing::WithParamInterface<std::tuple<SetUpEvent, SetUpEvent>> {
  protected:
-  void Do(What what) {
-    PlatformLink* const link = asked_;
-    switch (what) {
-      case What::kAnswer:
-        ++answers_;
-        return PlatformExchange::Answer(*link, kCall, "answered");
-      case What::kRefusal:
-        return PlatformExchange::Release(*link, kCall, 34, "all_trunks_busy");
-      case What::kError:
-        return PlatformExchange::Release(*link, kCall, 47);
-      case What::kReset:
-        return PlatformExchange::Release(*link, kCall, 41);
-      case What::kCallerReleases:
-        if (caller_->link.stream != nullptr) caller_->Release(kCall);
-        left_ = true;
+  void Apply(SetUpEvent event) {
+    PlatformConnection* const connection = pending_connection_;
+    switch (event) {
+      case SetUpEvent::kAnswer:
+        ++answers_sent_;
+        return PlatformExchange::Answer(*connection, kCall, "answered");
+      case SetUpEvent::kRefusal:
+        return PlatformExchange::Release(*connection, kCall, 34, "all_trunks_busy");
+      case SetUpEvent::kError:
+        return PlatformExchange::Release(*connection, kCall, 47);
+      case SetUpEvent::kReset:
+        return PlatformExchange::Release(*connection, kCall, 41);
+      case SetUpEvent::kCallerReleases:
+        if (caller_->connection.stream != nullptr) caller_->Release(kCall);
+        caller_left_ = true;
         return;
-      case What::kCallerCloses:
-        caller_->link.stream.reset();
-        left_ = true;
+      case SetUpEvent::kCallerCloses:
+        caller_->connection.stream.reset();
+        caller_left_ = true;
         return;
-      case What::kDrain:
-        return Tell(++told_, {TargetJson(1, "Terminating")});
-      case What::kGone:
-        return Tell(++told_, {TargetJson(1, "Gone")});
-      case What::kConnectionBreaks:
-        return link->Break();
-      case What::kExchangeDies:
-        return one_.Stop();
+      case SetUpEvent::kDrain:
+        return PublishChanges(++event_number_, {TargetJson(1, "Terminating")});
+      case SetUpEvent::kGone:
+        return PublishChanges(++event_number_, {TargetJson(1, "Gone")});
+      case SetUpEvent::kConnectionBreaks:
+        return connection->Reset();
+      case SetUpEvent::kExchangeDies:
+        return exchange_1_.Stop();
     }
   }
   std::unique_ptr<PlatformCaller> caller_;
-  PlatformLink* asked_ = nullptr;
-  std::uint64_t told_ = 1;
-  int answers_ = 0;
-  bool left_ = false;
+  PlatformConnection* pending_connection_ = nullptr;
+  std::uint64_t event_number_ = 1;
+  int answers_sent_ = 0;
+  bool caller_left_ = false;
 };
 
-TEST_P(PairTest, TheCallEndsOnceAndWhatStandsIsReleased) {
-  std::size_t out = 0, most_out = 0, asked = 0;
-  one_.on_set_up = [&](PlatformLink& link, const Message&) {
-    ++asked;
-    most_out = std::max(most_out, ++out);
-    if (asked == 1) {
-      asked_ = &link;
+TEST_P(PairTest, EndsCallOnceAndReleasesEstablishedCall) {
+  std::size_t outstanding = 0, max_outstanding = 0, attempts = 0;
+  exchange_1_.on_set_up = [&](PlatformConnection& connection, const Message&) {
+    ++attempts;
+    max_outstanding = std::max(max_outstanding, ++outstanding);
+    if (attempts == 1) {
+      pending_connection_ = &connection;
     } else {
-      PlatformExchange::Release(link, kCall, 34, "all_trunks_busy");
-      --out;
+      PlatformExchange::Release(connection, kCall, 34, "all_trunks_busy");
+      --outstanding;
     }
   };
-  two_.on_set_up = [](PlatformLink& link, const Message& message) {
-    PlatformExchange::Release(link, message.id, 34, "via_said_no");
+  exchange_2_.on_set_up = [](PlatformConnection& connection, const Message& message) {
+    PlatformExchange::Release(connection, message.id, 34, "via_said_no");
   };
-  caller_ = Caller();
+  caller_ = ConnectCaller();
   caller_->SetUp(kCall, 1);
   runtime_.RunFor(5 * kMs);
-  ASSERT_NE(asked_, nullptr);
+  ASSERT_NE(pending_connection_, nullptr);
   const auto [first, second] = GetParam();
-  out = 0;  // what comes now ends it, or what is said below does
-  Do(first);
-  Do(second);
+  outstanding = 0;  // the events below end the attempt
+  Apply(first);
+  Apply(second);
   runtime_.RunFor(100 * kMs);
-  const auto told = caller_->For(kCall);
+  const auto messages = caller_->FinalMessages(kCall);
   const auto answered =
-      std::count_if(told.begin(), told.end(), [](const Message& m) { return m.type == MessageType::kAnswer; });
+      std::count_if(messages.begin(), messages.end(), [](const Message& m) { return m.type == MessageType::kAnswer; });
   EXPECT_LE(answered, 1);
-  // A call that stands belongs to no connection: its end comes from either side. All others end by their own time.
-  const bool stands = node_->callers().open_calls() == 1 && node_->callers().unanswered() == 0;
-  if (stands && left_) {
-    PlatformExchange::Release(*asked_, kCall, 16);
-  } else if (stands) {
+  // An established call belongs to no connection and is released by either side. All other calls end by their own
+  // timeouts.
+  const bool is_established = node_->callers().open_calls() == 1 && node_->callers().unanswered_set_ups() == 0;
+  if (is_established && caller_left_) {
+    PlatformExchange::Release(*pending_connection_, kCall, 16);
+  } else if (is_established) {
     caller_->Release(kCall);
   }
   runtime_.RunFor(4'000 * kMs);
-  const auto after = caller_->For(kCall);
-  EXPECT_LE(std::count_if(after.begin(), after.end(), [](const Message& m) { return m.type == MessageType::kAnswer; }),
+  const auto all_messages = caller_->FinalMessages(kCall);
+  EXPECT_LE(std::count_if(all_messages.begin(), all_messages.end(),
+                          [](const Message& m) { return m.type == MessageType::kAnswer; }),
             1);
-  EXPECT_LE(after.size(), 2U);
-  EXPECT_TRUE(left_ || !after.empty()) << "no final answer";
-  EXPECT_LE(most_out, 1U);
+  EXPECT_LE(all_messages.size(), 2U);
+  EXPECT_TRUE(caller_left_ || !all_messages.empty()) << "no final answer";
+  EXPECT_LE(max_outstanding, 1U);
   EXPECT_EQ(node_->callers().open_calls(), 0U);
-  EXPECT_EQ(node_->callers().unanswered(), 0U);
+  EXPECT_EQ(node_->callers().unanswered_set_ups(), 0U);
   EXPECT_EQ(node_->core().open_calls(), 0U);
-  EXPECT_EQ(node_->exchanges().legs(), 0U);
-  // What the exchange answered and nobody wanted any more is released there, unless its connections or it went.
-  const auto gone = [](What what) {
-    return what == What::kGone || what == What::kConnectionBreaks || what == What::kExchangeDies ||
-           what == What::kRefusal || what == What::kError || what == What::kReset;
+  EXPECT_EQ(node_->exchanges().call_leg_count(), 0U);
+  // A call that was answered after the caller had left is released at the exchange, unless its connections or the
+  // exchange itself are gone.
+  const auto is_removal_or_failure = [](SetUpEvent event) {
+    return event == SetUpEvent::kGone || event == SetUpEvent::kConnectionBreaks || event == SetUpEvent::kExchangeDies ||
+           event == SetUpEvent::kRefusal || event == SetUpEvent::kError || event == SetUpEvent::kReset;
   };
-  if (answers_ > 0 && left_ && !stands && !gone(first) && !gone(second)) {
-    EXPECT_FALSE(one_.Heard(MessageType::kRelease).empty());
+  if (answers_sent_ > 0 && caller_left_ && !is_established && !is_removal_or_failure(first) &&
+      !is_removal_or_failure(second)) {
+    EXPECT_FALSE(exchange_1_.Received(MessageType::kRelease).empty());
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(AllPairs, PairTest, ::testing::Combine(::testing::ValuesIn(kAll), ::testing::ValuesIn(kAll)));
+INSTANTIATE_TEST_SUITE_P(AllPairs, PairTest,
+                         ::testing::Combine(::testing::ValuesIn(kAllEvents), ::testing::ValuesIn(kAllEvents)));
 
 }  // namespace
 }  // namespace croftrun::platform
--- a/tests/pending_releases_test.cpp
+++ b/tests/pending_releases_test.cpp
@@ -1,5 +1,5 @@
-// Releases on their way to callers: what becomes of a written one when its connection ends, row by row of the table in
-// the header, and that none is told again without need.
+// Tests which written releases are sent again after their connection has ended, for each row of the table in the
+// header.
 #include "platform/pending_releases.h"
 
 #include <gtest/gtest.h>
@@ -14,76 +14,77 @@
 
 struct Row {
   ConnectionEnd end;
-  TimeUs after;  // from the write to the end of the connection
-  ReadBy read_by;
+  TimeUs write_to_end;  // time from the write to the end of the connection
+  Recipient recipient;
   bool host_acknowledges;
-  bool waits;  // else it is told
+  bool waits_again;  // false: it counts as delivered
 };
 
 class PendingReleasesTest : public ::testing::TestWithParam<Row> {
  protected:
   static PendingRelease Release(const std::string& id) {
-    return {.host = kHost, .id = id, .line = "release of " + id, .since = kNow};
+    return {.host = kHost, .id = id, .line = "release of " + id, .call_ended_at = kNow};
   }
-  void HostAcknowledges() { releases_.OnAcknowledged(kHost, "an earlier call"); }
+  void RecordAcknowledgement() { releases_.OnAcknowledged(kHost, "an earlier call"); }
 
   PendingReleases releases_;
 };
 
-TEST_P(PendingReleasesTest, AWrittenReleaseWaitsAgainOnlyWhereItMayNeverHaveBeenRead) {
+TEST_P(PendingReleasesTest, WrittenReleaseWaitsAgainOnlyIfItMayBeUnread) {
   const Row& row = GetParam();
-  if (row.host_acknowledges) HostAcknowledges();
-  releases_.Written(Release("a"), kFirst, row.read_by, kNow);
-  releases_.OnConnectionEnded(kFirst, row.end, kNow + row.after);
-  EXPECT_EQ(releases_.WaitsFor(kHost), row.waits);
-  // What is told is told for good.
-  releases_.Expire(kNow + row.after + 3 * kSecond);
-  EXPECT_EQ(releases_.TakeFor(kHost, kSecondConnection, kNow + 4 * kSecond).size(), row.waits ? 1U : 0U);
+  if (row.host_acknowledges) RecordAcknowledgement();
+  releases_.OnWritten(Release("a"), kFirst, row.recipient, kNow);
+  releases_.OnConnectionEnded(kFirst, row.end, kNow + row.write_to_end);
+  EXPECT_EQ(releases_.HasWaiting(kHost), row.waits_again);
+  // A delivered release is never sent again.
+  releases_.Expire(kNow + row.write_to_end + 3 * kSecond);
+  EXPECT_EQ(releases_.TakeWaiting(kHost, kSecondConnection, kNow + 4 * kSecond).size(), row.waits_again ? 1U : 0U);
 }
 
-constexpr TimeUs kSoon = kMs, kLater = kSecond;
+constexpr TimeUs kWithinLossWindow = kMs, kAfterLossWindow = kSecond;
 using End = ConnectionEnd;
-INSTANTIATE_TEST_SUITE_P(EachRow, PendingReleasesTest,
-                         ::testing::Values(Row{End::kClosedHere, kSoon, ReadBy::kCaller, true, false},
-                                           Row{End::kClosedHere, kSoon, ReadBy::kCaller, false, false},
-                                           Row{End::kClosedHere, kLater, ReadBy::kHost, true, true},
-                                           Row{End::kClosedHere, kLater, ReadBy::kHost, false, false},
-                                           Row{End::kClosedUnwritten, kLater, ReadBy::kCaller, false, true},
-                                           Row{End::kClosedUnwritten, kLater, ReadBy::kHost, true, true},
-                                           Row{End::kFarEndClosed, kSoon, ReadBy::kCaller, true, true},
-                                           Row{End::kFarEndClosed, kSoon, ReadBy::kCaller, false, false},
-                                           Row{End::kFarEndClosed, kSoon, ReadBy::kHost, true, true},
-                                           Row{End::kFarEndClosed, kLater, ReadBy::kCaller, true, false},
-                                           Row{End::kFarEndClosed, kLater, ReadBy::kHost, true, true},
-                                           Row{End::kFarEndClosed, kLater, ReadBy::kHost, false, false},
-                                           Row{End::kFarEndReset, kSoon, ReadBy::kCaller, false, true},
-                                           Row{End::kFarEndReset, kSoon, ReadBy::kHost, false, true},
-                                           Row{End::kFarEndReset, kLater, ReadBy::kCaller, true, false},
-                                           Row{End::kFarEndReset, kLater, ReadBy::kHost, true, true}));
+INSTANTIATE_TEST_SUITE_P(
+    EachRow, PendingReleasesTest,
+    ::testing::Values(Row{End::kClosedLocally, kWithinLossWindow, Recipient::kCaller, true, false},
+                      Row{End::kClosedLocally, kWithinLossWindow, Recipient::kCaller, false, false},
+                      Row{End::kClosedLocally, kAfterLossWindow, Recipient::kHost, true, true},
+                      Row{End::kClosedLocally, kAfterLossWindow, Recipient::kHost, false, false},
+                      Row{End::kClosedWithUnwrittenData, kAfterLossWindow, Recipient::kCaller, false, true},
+                      Row{End::kClosedWithUnwrittenData, kAfterLossWindow, Recipient::kHost, true, true},
+                      Row{End::kPeerClosed, kWithinLossWindow, Recipient::kCaller, true, true},
+                      Row{End::kPeerClosed, kWithinLossWindow, Recipient::kCaller, false, false},
+                      Row{End::kPeerClosed, kWithinLossWindow, Recipient::kHost, true, true},
+                      Row{End::kPeerClosed, kAfterLossWindow, Recipient::kCaller, true, false},
+                      Row{End::kPeerClosed, kAfterLossWindow, Recipient::kHost, true, true},
+                      Row{End::kPeerClosed, kAfterLossWindow, Recipient::kHost, false, false},
+                      Row{End::kPeerReset, kWithinLossWindow, Recipient::kCaller, false, true},
+                      Row{End::kPeerReset, kWithinLossWindow, Recipient::kHost, false, true},
+                      Row{End::kPeerReset, kAfterLossWindow, Recipient::kCaller, true, false},
+                      Row{End::kPeerReset, kAfterLossWindow, Recipient::kHost, true, true}));
 
-TEST_F(PendingReleasesTest, OnAnOpenConnectionItIsToldAgainOnlyWhereTheHostAcknowledgesOthers) {
-  releases_.Written(Release("a"), kFirst, ReadBy::kCaller, kNow);
+TEST_F(PendingReleasesTest, ResendsUnacknowledgedReleaseOnlyIfHostAcknowledgesOthers) {
+  releases_.OnWritten(Release("a"), kFirst, Recipient::kCaller, kNow);
   releases_.Expire(kNow + 3 * kSecond);
-  EXPECT_FALSE(releases_.WaitsFor(kHost));
-  HostAcknowledges();
-  releases_.Written(Release("b"), kFirst, ReadBy::kCaller, kNow);
-  releases_.Written(Release("c"), kFirst, ReadBy::kCaller, kNow);
+  EXPECT_FALSE(releases_.HasWaiting(kHost));
+  RecordAcknowledgement();
+  releases_.OnWritten(Release("b"), kFirst, Recipient::kCaller, kNow);
+  releases_.OnWritten(Release("c"), kFirst, Recipient::kCaller, kNow);
   releases_.OnAcknowledged(kHost, "c");
   releases_.Expire(kNow + 1'900 * kMs);
-  EXPECT_FALSE(releases_.WaitsFor(kHost));
+  EXPECT_FALSE(releases_.HasWaiting(kHost));
   releases_.Expire(kNow + 2'100 * kMs);
-  const auto taken = releases_.TakeFor(kHost, kSecondConnection, kNow + 2'200 * kMs);
+  const auto taken = releases_.TakeWaiting(kHost, kSecondConnection, kNow + 2'200 * kMs);
   ASSERT_EQ(taken.size(), 1U);
   EXPECT_EQ(taken[0].id, "b");
 }
 
-TEST_F(PendingReleasesTest, ItIsWrittenOnThreeConnectionsAtMostAndOnNoneTwice) {
-  HostAcknowledges();
-  releases_.Written(Release("a"), 1, ReadBy::kCaller, kNow);
+TEST_F(PendingReleasesTest, WritesReleaseOnAtMostThreeDifferentConnections) {
+  RecordAcknowledgement();
+  releases_.OnWritten(Release("a"), 1, Recipient::kCaller, kNow);
   for (ConnectionNumber connection = 1; connection <= 3; ++connection) {
-    releases_.OnConnectionEnded(connection, ConnectionEnd::kFarEndReset, kNow + kMs);
-    EXPECT_TRUE(releases_.TakeFor(kHost, connection, kNow).empty());
-    EXPECT_EQ(releases_.TakeFor(kHost, connection + 1, kNow).size(), connection < 3 ? 1U : 0U);
+    releases_.OnConnectionEnded(connection, ConnectionEnd::kPeerReset, kNow + kMs);
+    EXPECT_TRUE(releases_.TakeWaiting(kHost, connection, kNow).empty());
+    EXPECT_EQ(releases_.TakeWaiting(kHost, connection + 1, kNow).size(), connection < 3 ? 1U : 0U);
   }
 }
 
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -1,4 +1,4 @@
-// A whole softswitch among stand-ins on virtual time, without the bench: for the tests of the platform's protocol.
+// A complete softswitch with stand-ins on virtual time, for tests of the platform protocol.
 #ifndef CROFTRUN_TESTS_PLATFORM_FIXTURE_H_
 #define CROFTRUN_TESTS_PLATFORM_FIXTURE_H_
 
@@ -16,17 +16,17 @@
 namespace croftrun::platform {
 
 using core::Address;
-using lab::PlatformBoard;
 using lab::PlatformCaller;
+using lab::PlatformConnection;
+using lab::PlatformDiscovery;
 using lab::PlatformExchange;
-using lab::PlatformLink;
 using nlohmann::json;
 
 inline constexpr TimeUs kMs = 1000;
-inline constexpr Address kSoftswitch{0x7f080001, 5080}, kBoard{0x7f08c801, 9092}, kOtherBoard{0x7f08c801, 9093};
-inline constexpr char kCall[] = "9b1f03aa5c7e2d41", kOther[] = "9b1f03aa5c7e2d42";
+inline constexpr Address kSoftswitch{0x7f080001, 5080}, kDiscovery{0x7f08c801, 9092}, kOtherDiscovery{0x7f08c801, 9093};
+inline constexpr char kCall[] = "9b1f03aa5c7e2d41", kOtherCall[] = "9b1f03aa5c7e2d42";
 
-class NoLog final : public core::Logger {
+class NullLogger final : public core::Logger {
  public:
   void Write(core::LogLevel, std::string_view, CallId, std::string_view) override {}
   bool IsEnabled(core::LogLevel level) const override { return level != core::LogLevel::kDebug; }
@@ -59,7 +59,7 @@
       {"listen", core::ToString(kSoftswitch)},
       {"seed", "8c1f30d27a5be964"},
       {"limits", {{"cores", 1.0}, {"memory_mb", 32}, {"sockets", 128}}},
-      {"board", core::ToString(kBoard)},
+      {"board", core::ToString(kDiscovery)},
       {"known",
        {{"rev", 1},
         {"notices", json::array({json::parse(EventJson(1, true, {TargetJson(0), TargetJson(1), TargetJson(2)}))})}}},
@@ -86,51 +86,52 @@
  protected:
   PlatformTest()
       : runtime_(7),
-        board_(&runtime_, kBoard),
-        one_(&runtime_, ExchangeAddress(1)),
-        two_(&runtime_, ExchangeAddress(2)) {
+        discovery_(&runtime_, kDiscovery),
+        exchange_1_(&runtime_, ExchangeAddress(1)),
+        exchange_2_(&runtime_, ExchangeAddress(2)) {
     std::vector<config::Mistake> mistakes;
     const NodeConfig config = ParseNodeConfig(ConfigJson().dump(), "", "", &mistakes);
     EXPECT_TRUE(mistakes.empty()) << config::ToString(mistakes);
     node_ = std::make_unique<Node>(config, &runtime_, &log_);
     runtime_.RunFor(50 * kMs);
-    Gauges();
+    SendReports();
   }
-  void Gauges() {
-    for (PlatformExchange* const exchange : {&one_, &two_}) {
-      for (PlatformLink* const link : exchange->OpenLinks()) {
-        link->Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:20;total:20"}}});
+  void SendReports() {
+    for (PlatformExchange* const exchange : {&exchange_1_, &exchange_2_}) {
+      for (PlatformConnection* const connection : exchange->OpenConnections()) {
+        connection->Send(
+            {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:20;total:20"}}});
       }
     }
     runtime_.RunFor(kMs);
   }
-  // A report of the circuits in use, of 20.
-  static void ReportCircuits(PlatformLink& link, int used) {
+  // Reports this many circuits in use, out of 20.
+  static void ReportCircuits(PlatformConnection& connection, int used) {
     const std::string load = "spare:" + std::to_string(20 - used) + ";total:20";
-    link.Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", load}}});
+    connection.Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", load}}});
   }
-  // A notice of what has changed.
-  void Tell(std::uint64_t number, const std::vector<json>& targets) {
-    board_.Tell(number, EventJson(number, false, targets));
+  // Publishes a directory notification with changes.
+  void PublishChanges(std::uint64_t number, const std::vector<json>& targets) {
+    discovery_.Publish(number, EventJson(number, false, targets));
   }
-  std::unique_ptr<PlatformCaller> Caller(std::uint32_t host = 0x7f000005) {
+  std::unique_ptr<PlatformCaller> ConnectCaller(std::uint32_t host = 0x7f000005) {
     runtime_.SetHost(host);
     auto caller = std::make_unique<PlatformCaller>(&runtime_, kSoftswitch);
     runtime_.RunFor(kMs);
     return caller;
   }
-  // A call to exchange 1 that stands.
-  void Stand(PlatformCaller& caller, const std::string& id) {
+  // Sets up a call to exchange 1 that is answered.
+  void EstablishCall(PlatformCaller& caller, const std::string& id) {
     caller.SetUp(id, 1);
     runtime_.RunFor(5 * kMs);
-    ASSERT_EQ(caller.For(id).size(), 1U);
-    ASSERT_EQ(caller.For(id)[0].type, MessageType::kAnswer);
+    ASSERT_EQ(caller.FinalMessages(id).size(), 1U);
+    ASSERT_EQ(caller.FinalMessages(id)[0].type, MessageType::kAnswer);
   }
 
   sim::VirtualRuntime runtime_;
-  NoLog log_;
-  PlatformBoard board_;
-  PlatformExchange one_, two_;
+  NullLogger log_;
+  PlatformDiscovery discovery_;
+  PlatformExchange exchange_1_, exchange_2_;
   std::unique_ptr<Node> node_;
 };
 
--- a/tests/platform_process_test.sh
+++ b/tests/platform_process_test.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# The edge on the platform as a process: its configuration, its signals, its exit codes.
+# Tests the edge on the platform as a process: configuration, signals and exit codes.
 set -euo pipefail
 edge=$1
 folder=$(mktemp -d)
@@ -15,7 +15,7 @@
  "settings":{"family_info":{"home_no":0,"shape":"meshed"},"grades":[{"name":"voice","hard_limit_us":9000000}],"report":{"fields":["spare","total"]}}}
 JSON
 }
-ask() {  # one line to the softswitch, one line back
+send_line() {  # sends one line to the softswitch and prints the response line
   exec 3<>"/dev/tcp/127.0.0.9/$port" || return 1
   printf '%s\n' "$1" >&3
   local line=
@@ -24,24 +24,24 @@
   printf '%s' "$line"
 }
 
-# A configuration at fault: all mistakes, exit code 3.
+# An invalid configuration is rejected with all errors and exit code 3.
 echo '{"listen":"nowhere","limits":{"sockets":-1}}' >"$folder/config.json"
 code=0
 GW_CONFIG=$folder/config.json "$edge" --platform 2>"$folder/bad.txt" || code=$?
-[[ $code -eq 3 ]] || fail "exit code $code for a configuration at fault"
+[[ $code -eq 3 ]] || fail "exit code $code for an invalid configuration"
 for place in /listen /limits/sockets /board /settings; do
-  grep -q -- "$place" "$folder/bad.txt" || fail "nothing said of $place"
+  grep -q -- "$place" "$folder/bad.txt" || fail "no error reported for $place"
 done
 code=0
 env -u GW_CONFIG "$edge" --platform 2>"$folder/none.txt" || code=$?
 [[ $code -eq 3 ]] || fail "exit code $code without GW_CONFIG"
 
-# A signal that comes while it starts is not lost: the process waits for its configuration (a pipe that nobody has written
-# to) when SIGTERM comes, and ends in order once it has it; SIGHUP likewise makes it read the file again.
+# A signal during the start is not lost. The process waits for its configuration from an empty pipe when SIGTERM
+# arrives, and shuts down in order once it has read it; likewise SIGHUP makes it read the file again.
 mkfifo "$folder/pipe"
 GW_CONFIG=$folder/pipe "$edge" --platform 2>"$folder/early.txt" &
 pid=$!
-exec 4>"$folder/pipe"  # returns once the process has opened its end
+exec 4>"$folder/pipe"  # returns once the process has opened the pipe
 kill -TERM "$pid"
 good 3 >&4
 exec 4>&-
@@ -49,7 +49,7 @@
 wait "$pid" || code=$?
 pid=
 [[ $code -eq 0 ]] || fail "exit code $code after a SIGTERM during the start"
-grep -q '"stopped"' "$folder/early.txt" || fail "a SIGTERM during the start did not end it in order"
+grep -q '"stopped"' "$folder/early.txt" || fail "no orderly shutdown after a SIGTERM during the start"
 GW_CONFIG=$folder/pipe "$edge" --platform 2>"$folder/early.txt" &
 pid=$!
 exec 4>"$folder/pipe"
@@ -57,11 +57,11 @@
 good 3 >&4
 exec 4>&-
 for _ in $(seq 100); do grep -q '"ready"' "$folder/early.txt" && break; sleep 0.1; done
-exec 4>"$folder/pipe"  # the second reading
+exec 4>"$folder/pipe"  # read a second time
 good 4 >&4
 exec 4>&-
 for _ in $(seq 100); do grep -q '"reconfigured"' "$folder/early.txt" && break; sleep 0.1; done
-grep -q 'to 127.0.0.9:4' "$folder/early.txt" || fail "a SIGHUP during the start went unnoticed"
+grep -q 'to 127.0.0.9:4' "$folder/early.txt" || fail "a SIGHUP during the start was ignored"
 kill -TERM "$pid"
 wait "$pid" || fail "exit code $? after SIGTERM"
 pid=
@@ -70,25 +70,25 @@
 GW_CONFIG=$folder/config.json "$edge" --platform 2>"$folder/log.txt" &
 pid=$!
 for _ in $(seq 100); do grep -q '"ready"' "$folder/log.txt" && break; sleep 0.1; done
-test='{"t":"hb","ref":"0000000000000001","f":{},"c":0}'
-[[ $(ask "$test") == *'"hb_ok"'* ]] || fail "a test was not passed"
+heartbeat='{"t":"hb","ref":"0000000000000001","f":{},"c":0}'
+[[ $(send_line "$heartbeat") == *'"hb_ok"'* ]] || fail "heartbeat was not answered"
 
-# A file half written leaves the old one in force, and is read again once it is whole.
+# A half-written file leaves the former configuration in force and is read again once it is complete.
 good 4 | head -c 100 >"$folder/config.json"
 kill -HUP "$pid"
 for _ in $(seq 100); do grep -q configuration-kept "$folder/log.txt" && break; sleep 0.1; done
-grep -q configuration-kept "$folder/log.txt" || fail "a half-written configuration went unnoticed"
-[[ $(ask "$test") == *'"hb_ok"'* ]] || fail "gone after a half-written configuration"
+grep -q configuration-kept "$folder/log.txt" || fail "a half-written configuration was not reported"
+[[ $(send_line "$heartbeat") == *'"hb_ok"'* ]] || fail "heartbeat was not answered after a half-written configuration"
 good 4 >"$folder/config.json"
 for _ in $(seq 100); do grep -q '"reconfigured"' "$folder/log.txt" && break; sleep 0.1; done
-grep -q 'to 127.0.0.9:4' "$folder/log.txt" || fail "the new board is not followed"
+grep -q 'to 127.0.0.9:4' "$folder/log.txt" || fail "new discovery address was not applied"
 
-# Told to stop it goes on answering for a while, then ends in order.
+# After SIGTERM it still answers for a while and then shuts down in order.
 kill -TERM "$pid"
 call='{"t":"new","ref":"0000000000000002","f":{"class":"voice","left":"1500","extras":"dest:7;width:1;via:-1"},"d":"x"}'
-[[ $(ask "$call") == *'"down"'* ]] || fail "a call after SIGTERM went unanswered"
+[[ $(send_line "$call") == *'"down"'* ]] || fail "a call after SIGTERM was not answered"
 code=0
 wait "$pid" || code=$?
 pid=
 [[ $code -eq 0 ]] || fail "exit code $code after SIGTERM"
-grep -q '"stopped"' "$folder/log.txt" || fail "no word of the end"
+grep -q '"stopped"' "$folder/log.txt" || fail "shutdown was not logged"
