--- a/src/lab/platform_stand_ins.cpp
+++ b/src/lab/platform_stand_ins.cpp
@@ -120,13 +120,14 @@
   connection.stream = runtime->Connect(softswitch, 1'000'000, &connection);
 }
 
-void PlatformCaller::SetUp(const std::string& id, int destination, const std::string& more, const std::string& left) {
+void PlatformCaller::SetUp(const std::string& id, int destination, const std::string& extra_values,
+                           const std::string& timeout_ms) {
   connection.Send({.type = MessageType::kSetUp,
                    .id = id,
                    .fields = {{"class", "voice"},
-                              {"left", left},
+                              {"left", timeout_ms},
                               {"key", "7f3a9c21e0b4d655"},
-                              {"extras", "dest:" + std::to_string(destination) + ";width:1;via:-1" + more}},
+                              {"extras", "dest:" + std::to_string(destination) + ";width:1;via:-1" + extra_values}},
                    .description = "offer of " + id + "\r\nm=audio"});
 }
 
--- a/src/lab/platform_stand_ins.h
+++ b/src/lab/platform_stand_ins.h
@@ -42,6 +42,7 @@
   platform::LineReader reader_;
 };
 
+// Stand-in for an exchange that accepts connections from softswitches.
 class PlatformExchange final : public core::StreamAcceptor {
  public:
   // Handles a set-up. By default, it is answered at once.
@@ -67,6 +68,7 @@
   std::vector<platform::Message> received_;
 };
 
+// Stand-in for the discovery service.
 class PlatformDiscovery final : public core::StreamAcceptor {
  public:
   PlatformDiscovery(core::Runtime* runtime, const core::Address& address);
@@ -86,11 +88,12 @@
   std::vector<std::pair<std::uint64_t, std::string>> events_;
 };
 
-// A caller's connection.
+// Stand-in for a caller with one connection to a softswitch.
 class PlatformCaller {
  public:
   PlatformCaller(core::Runtime* runtime, const core::Address& softswitch);
-  void SetUp(const std::string& id, int destination, const std::string& more = "", const std::string& left = "3000");
+  void SetUp(const std::string& id, int destination, const std::string& extra_values = "",
+             const std::string& timeout_ms = "3000");
   void Release(const std::string& id);
   void SendRaw(const std::string& octets) { connection.stream->Write(octets); }
   // Returns the final answers and releases for this id in order.
--- a/src/platform/caller_connections.cpp
+++ b/src/platform/caller_connections.cpp
@@ -341,7 +341,7 @@
                       connection == open_call.connection ? Recipient::kCaller : Recipient::kHost, now);
 }
 
-// Returns the most recently used connection of the caller that carried calls. Others may belong to the platform's
+// Chooses the most recently used connection that carried calls. Others may belong to the platform's
 // front end, which only sends heartbeats, or to another client on the same host.
 CallerConnections::Connection* CallerConnections::FindCallerConnection(std::uint32_t host) {
   Connection* best = nullptr;
--- a/src/platform/caller_connections.h
+++ b/src/platform/caller_connections.h
@@ -22,6 +22,7 @@
 
 namespace croftrun::platform {
 
+// Settings of the connections from callers.
 struct CallerSettings {
   core::Address listen;
   std::size_t max_connections = 100;             // at the limit the least useful connection is closed
@@ -29,6 +30,7 @@
   std::vector<std::string> classes;              // names by class index
 };
 
+// Counters of the connections from callers, as shown in the metrics.
 struct CallerCounters {
   std::uint64_t connections = 0, connections_waited = 0, connections_evicted = 0, connections_silent = 0,
                 connections_stuck = 0;
@@ -39,6 +41,7 @@
   TimeUs end_waited_longest = 0;  // longest time that a release waited for a connection of its caller
 };
 
+// Accepts connections from callers and owns the calls that arrive on them.
 class CallerConnections final : public core::CallOwner, public core::StreamAcceptor {
  public:
   // Takes no ownership. `exchange_connections` is used to adopt calls that are already established at an exchange.
@@ -80,6 +83,7 @@
     bool is_established = false;
   };
 
+  // Returns false if the connection has to be closed, as do the handlers of its messages.
   bool HandleLine(Connection* connection, std::string_view line);
   // Passes the set-ups of the received data to the core, except those released in the same data.
   void StartSetUps(Connection* connection);
@@ -91,8 +95,11 @@
   void EndConnection(Connection* connection, ConnectionEnd end);
   // Sends the releases that wait for the caller of this connection.
   void SendPendingReleases(Connection* connection);
+  // Closes the least useful connection to make room. Returns false if there is none to close.
   bool EvictConnection();
+  // Closes silent and stuck connections and sends pending releases.
   void RunPeriodicCheck();
+  // Returns the connection on which a release for this host is sent, or null if there is none.
   Connection* FindCallerConnection(std::uint32_t host);
   // Returns the connections on which the releases of established calls would be sent whose own connection has ended.
   std::unordered_set<const Connection*> ConnectionsNeededForReleases();
--- a/src/platform/discovery_client.h
+++ b/src/platform/discovery_client.h
@@ -34,6 +34,7 @@
   bool after_carriage_return_ = false, has_data_ = false;
 };
 
+// Counters of the discovery client, as shown in the metrics.
 struct DiscoveryCounters {
   std::uint64_t connects = 0, breaks = 0, silences = 0, gaps = 0, events = 0, repeated = 0, unreadable = 0;
 };
--- a/src/platform/exchange_connections.cpp
+++ b/src/platform/exchange_connections.cpp
@@ -584,7 +584,7 @@
   }
   ++counters_.set_ups;
   const CallLeg& leg = call_legs_[id] = {call, set_up.attempt, found->second.get(), connection, false, 0, id};
-  LogCall("set-up-sent", leg, std::to_string(set_up.budget_us / 1000) + " ms left");
+  LogCall("set-up-sent", leg, std::to_string(set_up.budget_us / 1000) + " ms remaining");
   call_ids_[call] = id;
   connection->set_ups.insert(id);
   connection->stream->Write(line);
--- a/src/platform/exchange_connections.h
+++ b/src/platform/exchange_connections.h
@@ -27,6 +27,7 @@
 
 namespace croftrun::platform {
 
+// Settings of the connections to the exchanges.
 struct ExchangeSettings {
   std::size_t max_connections = 100;  // limit for all exchanges together
   TimeUs connect_timeout_us = 500'000;
@@ -38,6 +39,7 @@
   bool own_circuits = true;                // reports count only the circuits towards this softswitch
 };
 
+// Counters of the connections to the exchanges, as shown in the metrics.
 struct ExchangeCounters {
   std::uint64_t set_ups = 0, shared = 0, answers = 0, refusals = 0, errors = 0, resets = 0, never_ran = 0, given_up = 0;
   std::uint64_t ended = 0, cut = 0, cut_with_exchange = 0, released = 0;
@@ -52,6 +54,8 @@
                 unknown_ends = 0;
 };
 
+// Carries the trunk side of the core: set-ups, releases and probes over connections to the exchanges. It also applies
+// the directory and gives up the calls at failed exchanges.
 class ExchangeConnections final : public core::TrunkDriver {
  public:
   ExchangeConnections(const ExchangeSettings& settings, core::Runtime* runtime, core::Logger* log,
--- a/src/platform/group_report.h
+++ b/src/platform/group_report.h
@@ -11,6 +11,7 @@
 
 namespace croftrun::platform {
 
+// Parser for the reports of one configuration.
 class GroupReportReader {
  public:
   // `field_names` are given in the order of Settings::report_fields. `own_circuits` states that a report counts only
--- a/src/platform/line_codec.h
+++ b/src/platform/line_codec.h
@@ -20,6 +20,7 @@
 // Maximum length of a message, including its line feed.
 inline constexpr std::size_t kMaxLineOctets = 16 << 10;
 
+// Type of a message; the comments give its name on the wire.
 enum class MessageType : std::uint8_t {
   kSetUp,    // new
   kWait,     // wait: progress, ignored
@@ -32,6 +33,7 @@
   kOther,    // a type that this side does not know
 };
 
+// One message of the protocol.
 struct Message {
   MessageType type = MessageType::kOther;
   std::string id = {};                                           // call id; empty if absent
--- a/src/platform/node.h
+++ b/src/platform/node.h
@@ -14,6 +14,7 @@
 
 namespace croftrun::platform {
 
+// Creates the parts of a softswitch and controls its start, reconfiguration and shutdown.
 class Node {
  public:
   // Applies the known directory and starts to listen. If the address is still in use by a process that is shutting
--- a/src/platform/node_config.h
+++ b/src/platform/node_config.h
@@ -39,6 +39,7 @@
 std::optional<DirectoryNotification> ParseDirectoryNotification(const nlohmann::json& event, std::uint64_t number,
                                                                 std::string* error);
 
+// Contents of the configuration file.
 struct NodeConfig {
   std::string name;
   core::Address listen, discovery_address;
--- a/src/platform/pending_releases.h
+++ b/src/platform/pending_releases.h
@@ -51,6 +51,7 @@
   kHost,    // any client on the caller's host
 };
 
+// The release of an ended call that has to reach its caller.
 struct PendingRelease {
   std::uint32_t host = 0;
   std::string id;            // of the call
@@ -62,6 +63,7 @@
   std::set<ConnectionNumber> tried_connections = {};  // connections it was written on
 };
 
+// Keeps the releases until they count as delivered. The head of this file describes the rules.
 class PendingReleases {
  public:
   // Adds a release that found no connection.
@@ -71,13 +73,16 @@
   // Returns the waiting releases for this host that have not been written on this connection yet, and records them as
   // written on it.
   std::vector<PendingRelease> TakeWaiting(std::uint32_t host, ConnectionNumber connection, TimeUs now);
+  // Returns whether releases wait for this host.
   bool HasWaiting(std::uint32_t host) const;
   // The host acknowledged the release of this call.
   void OnAcknowledged(std::uint32_t host, const std::string& id);
+  // A connection ended: its releases that may be unread wait again.
   void OnConnectionEnded(ConnectionNumber connection, ConnectionEnd end, TimeUs now);
   // Requeues releases that were not acknowledged in time and removes the delivered and the expired ones. Returns the
   // number of waiting releases that were dropped.
   std::size_t Expire(TimeUs now);
+  // Returns the number of waiting releases.
   std::size_t waiting_count() const;
 
  private:
--- a/src/platform/release_meaning.h
+++ b/src/platform/release_meaning.h
@@ -20,6 +20,7 @@
 // as a reset.
 core::AttemptResult AttemptResultOf(int cause, const std::string& note);
 
+// Returns the release information for the core with this result and cause.
 core::ReleaseInfo MakeReleaseInfo(const core::AttemptResult& result, core::ReleaseCause cause);
 
 }  // namespace croftrun::platform
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -46,8 +46,8 @@
           {"boot_ms", boot_ms}};
 }
 
-inline std::string EventJson(std::uint64_t number, bool whole, const json& targets) {
-  return json{{"rev", number}, {"pool", {{"rev", number}, {"all", whole}, {"targets", targets}}}}.dump();
+inline std::string EventJson(std::uint64_t number, bool is_full, const json& targets) {
+  return json{{"rev", number}, {"pool", {{"rev", number}, {"all", is_full}, {"targets", targets}}}}.dump();
 }
 
 inline json ConfigJson() {
