--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -38,9 +38,9 @@
   kJournalLine = 27,
 };
 
-constexpr std::uint8_t kMarkRedialled = 2;
-constexpr std::uint8_t kMarkTransit = 8;
-constexpr std::uint8_t kMarkCut = 16;
+constexpr std::uint8_t kFlagRedial = 2;
+constexpr std::uint8_t kFlagInTransit = 8;
+constexpr std::uint8_t kFlagPreviouslyCut = 16;
 
 template <typename T>
 T Decode(std::string_view bytes) {
@@ -64,17 +64,17 @@
   out->append(text);
 }
 
-std::uint32_t Clip32(std::uint64_t value) {
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(value < kMost ? value : kMost);
+std::uint32_t ClampTo32Bits(std::uint64_t value) {
+  constexpr std::uint64_t kMax = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(value < kMax ? value : kMax);
 }
 
-// Whole numbers travel as floats; anything that is not a small one means "none".
-int NumberOf(float value) {
+// Converts a number that is encoded as a float; anything but a small non-negative number means "none".
+int ParseNumber(float value) {
   return std::isfinite(value) && value >= 0.0F && value <= 65535.0F ? static_cast<int>(value) : -1;
 }
 
-[[noreturn]] void Malformed(std::size_t where, const std::string& what) {
+[[noreturn]] void ThrowMalformed(std::size_t where, const std::string& what) {
   throw MalformedFrame("byte " + std::to_string(where) + " of the records: " + what);
 }
 
@@ -84,7 +84,7 @@
 
 const std::vector<DirectoryEntry>& DirectoryLists::Get(std::uint32_t ref, std::size_t where) const {
   const auto found = lists_.find(ref);
-  if (found == lists_.end()) Malformed(where, "list " + std::to_string(ref) + " was never defined");
+  if (found == lists_.end()) ThrowMalformed(where, "list " + std::to_string(ref) + " was never defined");
   return found->second;
 }
 
@@ -96,54 +96,54 @@
   const auto size = Decode<std::uint32_t>(bytes.substr(12));
   header.record_count = Decode<std::uint32_t>(bytes.substr(16));
   if (size < sizeof(std::uint32_t)) throw MalformedFrame("batch size is below that of its record count");
-  if (size > kLargestBatch) throw MalformedFrame("batch size " + std::to_string(size) + " is over the limit");
+  if (size > kMaxBatchSize) throw MalformedFrame("batch size " + std::to_string(size) + " is over the limit");
   header.records_size = size - static_cast<std::uint32_t>(sizeof(std::uint32_t));
   return header;
 }
 
 BatchReader::BatchReader(std::string_view records, std::uint32_t record_count, DirectoryLists* lists)
-    : bytes_(records), left_(record_count), lists_(lists) {}
+    : bytes_(records), remaining_(record_count), lists_(lists) {}
 
-std::string_view BatchReader::TakeBytes(std::size_t size) {
-  if (size > bytes_.size() - at_) Malformed(at_, "record is truncated");
-  const auto taken = bytes_.substr(at_, size);
-  at_ += size;
+std::string_view BatchReader::ReadBytes(std::size_t size) {
+  if (size > bytes_.size() - position_) ThrowMalformed(position_, "record is truncated");
+  const auto taken = bytes_.substr(position_, size);
+  position_ += size;
   return taken;
 }
 
 template <typename T>
-T BatchReader::Take() {
-  return Decode<T>(TakeBytes(sizeof(T)));
+T BatchReader::Read() {
+  return Decode<T>(ReadBytes(sizeof(T)));
 }
 
-float BatchReader::TakeFloat() { return std::bit_cast<float>(Take<std::uint32_t>()); }
+float BatchReader::ReadFloat() { return std::bit_cast<float>(Read<std::uint32_t>()); }
 
-std::vector<float> BatchReader::TakeReport() {
-  const auto count = Take<std::uint8_t>();
+std::vector<float> BatchReader::ReadReport() {
+  const auto count = Read<std::uint8_t>();
   std::vector<float> report;
   report.reserve(count);
-  for (int i = 0; i < count; ++i) report.push_back(TakeFloat());
+  for (int i = 0; i < count; ++i) report.push_back(ReadFloat());
   return report;
 }
 
-DirectoryEntry BatchReader::TakeEntry() {
+DirectoryEntry BatchReader::ReadEntry() {
   DirectoryEntry entry;
-  entry.exchange = Take<std::uint32_t>();
-  entry.zone = Take<std::uint8_t>();
-  entry.kind = Take<std::uint8_t>();
-  entry.number = Take<std::uint16_t>();
-  const std::size_t where = at_;
-  const auto status = Take<std::uint8_t>();
-  if (status > 2) Malformed(where, "unknown readiness " + std::to_string(status));
+  entry.exchange = Read<std::uint32_t>();
+  entry.zone = Read<std::uint8_t>();
+  entry.kind = Read<std::uint8_t>();
+  entry.number = Read<std::uint16_t>();
+  const std::size_t where = position_;
+  const auto status = Read<std::uint8_t>();
+  if (status > 2) ThrowMalformed(where, "unknown readiness " + std::to_string(status));
   entry.status = static_cast<ExchangeStatus>(status);
-  entry.rating = TakeFloat();
-  entry.since_us = Take<std::uint64_t>();
+  entry.rating = ReadFloat();
+  entry.since_us = Read<std::uint64_t>();
   return entry;
 }
 
-Outcome BatchReader::TakeOutcome() {
-  const std::size_t where = at_;
-  const auto code = Take<std::uint16_t>();
+Outcome BatchReader::ReadOutcome() {
+  const std::size_t where = position_;
+  const auto code = Read<std::uint16_t>();
   switch (code) {
     case 200:
       return Outcome::kOk;
@@ -162,105 +162,105 @@
     case 409:
       return Outcome::kNotSent;
     default:
-      Malformed(where, "unknown outcome " + std::to_string(code));
+      ThrowMalformed(where, "unknown outcome " + std::to_string(code));
   }
 }
 
 bool BatchReader::Next(Record* record) {
   while (true) {
-    if (left_ == 0) {
-      if (at_ != bytes_.size()) Malformed(at_, "bytes follow the last record");
+    if (remaining_ == 0) {
+      if (position_ != bytes_.size()) ThrowMalformed(position_, "bytes follow the last record");
       return false;
     }
-    --left_;
-    const std::size_t start = at_;
-    const auto code = Take<std::uint8_t>();
+    --remaining_;
+    const std::size_t start = position_;
+    const auto code = Read<std::uint8_t>();
     if (static_cast<EventCode>(code) == EventCode::kDirectory) {
-      const auto ref = Take<std::uint32_t>();
-      if (ref >= kMostLists) Malformed(start, "list number " + std::to_string(ref) + " is out of range");
-      const auto count = Take<std::uint32_t>();
+      const auto ref = Read<std::uint32_t>();
+      if (ref >= kMaxLists) ThrowMalformed(start, "list number " + std::to_string(ref) + " is out of range");
+      const auto count = Read<std::uint32_t>();
       std::vector<DirectoryEntry> entries;
-      for (std::uint32_t i = 0; i < count; ++i) entries.push_back(TakeEntry());
+      for (std::uint32_t i = 0; i < count; ++i) entries.push_back(ReadEntry());
       lists_->Set(ref, std::move(entries));
       continue;
     }
-    record->instance = Take<std::uint32_t>();
+    record->instance = Read<std::uint32_t>();
     switch (static_cast<EventCode>(code)) {
       case EventCode::kTopology: {
         DirectoryUpdate update;
-        const std::size_t where = at_;
-        const auto kind = Take<std::uint8_t>();
-        const auto ref = Take<std::uint32_t>();
-        update.version = Take<std::uint32_t>();
-        if (kind > 3) Malformed(where, "unknown list kind " + std::to_string(kind));
+        const std::size_t where = position_;
+        const auto kind = Read<std::uint8_t>();
+        const auto ref = Read<std::uint32_t>();
+        update.version = Read<std::uint32_t>();
+        if (kind > 3) ThrowMalformed(where, "unknown list kind " + std::to_string(kind));
         update.kind = static_cast<DirectoryKind>(kind);
         if (update.kind != DirectoryKind::kFailed) update.entries = lists_->Get(ref, where);
         record->body = Event(std::move(update));
         return true;
       }
       case EventCode::kElapsed:
-        record->body = Event(TimerExpired{Take<std::uint64_t>()});
+        record->body = Event(TimerExpired{Read<std::uint64_t>()});
         return true;
       case EventCode::kProvision: {
         Provision provision;
-        provision.seed = Take<std::uint64_t>();
-        provision.settings = TakeBytes(Take<std::uint32_t>());
+        provision.seed = Read<std::uint64_t>();
+        provision.settings = ReadBytes(Read<std::uint32_t>());
         record->body = std::move(provision);
         return true;
       }
       case EventCode::kEcho: {
-        LoadReportReceived heard;
-        heard.exchange = Take<std::uint32_t>();
-        heard.elapsed_us = Take<std::uint32_t>();
-        heard.outcome = TakeOutcome();
-        heard.report = TakeReport();
-        record->body = Event(std::move(heard));
+        LoadReportReceived received;
+        received.exchange = Read<std::uint32_t>();
+        received.elapsed_us = Read<std::uint32_t>();
+        received.outcome = ReadOutcome();
+        received.report = ReadReport();
+        record->body = Event(std::move(received));
         return true;
       }
       case EventCode::kHeard:
-        Take<std::uint16_t>();
-        TakeBytes(Take<std::uint16_t>());
+        Read<std::uint16_t>();
+        ReadBytes(Read<std::uint16_t>());
         record->body = Ignored{};
         return true;
       case EventCode::kAsk: {
         CallOffered call;
-        call.call = Take<std::uint32_t>();
-        call.call_class = Take<std::uint16_t>();
-        call.customer = static_cast<int>(Take<std::uint32_t>() & 0x7fffffffU);
-        call.number_called = Take<std::uint64_t>();
-        call.budget_us = Take<std::uint32_t>();
-        Take<std::uint32_t>();  // predicted work: no use is made of it
-        call.destination = NumberOf(TakeFloat());
-        call.width = static_cast<double>(TakeFloat());
-        call.via = NumberOf(TakeFloat());
-        const auto marks = Take<std::uint8_t>();
-        call.is_redial = (marks & kMarkRedialled) != 0;
-        call.in_transit = (marks & kMarkTransit) != 0;
-        call.previously_cut = (marks & kMarkCut) != 0;
+        call.call = Read<std::uint32_t>();
+        call.call_class = Read<std::uint16_t>();
+        call.customer = static_cast<int>(Read<std::uint32_t>() & 0x7fffffffU);
+        call.number_called = Read<std::uint64_t>();
+        call.budget_us = Read<std::uint32_t>();
+        Read<std::uint32_t>();  // predicted work, not used
+        call.destination = ParseNumber(ReadFloat());
+        call.width = static_cast<double>(ReadFloat());
+        call.via = ParseNumber(ReadFloat());
+        const auto flags = Read<std::uint8_t>();
+        call.is_redial = (flags & kFlagRedial) != 0;
+        call.in_transit = (flags & kFlagInTransit) != 0;
+        call.previously_cut = (flags & kFlagPreviouslyCut) != 0;
         record->body = Event(call);
         return true;
       }
       case EventCode::kGone:
-        record->body = Event(CallAbandoned{Take<std::uint32_t>()});
+        record->body = Event(CallAbandoned{Read<std::uint32_t>()});
         return true;
       case EventCode::kDetach:
         record->body = Detach{};
         return true;
       case EventCode::kEnded: {
         AttemptEnded ended;
-        ended.call = Take<std::uint32_t>();
-        ended.exchange = Take<std::uint32_t>();
-        const auto why = Take<std::uint32_t>();
-        switch (why & 15U) {
+        ended.call = Read<std::uint32_t>();
+        ended.exchange = Read<std::uint32_t>();
+        const auto reason = Read<std::uint32_t>();
+        switch (reason & 15U) {
           case 1:
             ended.cause = RejectCause::kNoCircuit;
             break;
           case 2:
-            ended.cause = (why & 16U) != 0 ? RejectCause::kCrankbackProcessorFull : RejectCause::kCrankback;
+            ended.cause = (reason & 16U) != 0 ? RejectCause::kCrankbackProcessorFull : RejectCause::kCrankback;
             break;
           case 3:
             ended.cause = RejectCause::kProcessorFull;
-            ended.wait_us = TimeUs{why >> 4U} * 1000U;
+            ended.wait_us = TimeUs{reason >> 4U} * 1000U;
             break;
           case 4:
             ended.cause = RejectCause::kLinesBusy;
@@ -269,25 +269,25 @@
             ended.cause = RejectCause::kNone;
             break;
         }
-        ended.attempt = Take<std::uint16_t>();
-        ended.elapsed_us = Take<std::uint32_t>();
-        ended.outcome = TakeOutcome();
-        ended.terminal = Take<std::uint8_t>() != 0;
-        ended.report = TakeReport();
+        ended.attempt = Read<std::uint16_t>();
+        ended.elapsed_us = Read<std::uint32_t>();
+        ended.outcome = ReadOutcome();
+        ended.terminal = Read<std::uint8_t>() != 0;
+        ended.report = ReadReport();
         record->body = Event(std::move(ended));
         return true;
       }
       case EventCode::kAckFirst: {
-        CallEstablished stands;
-        stands.call = Take<std::uint32_t>();
-        stands.exchange = Take<std::uint32_t>();
-        stands.attempt = Take<std::uint16_t>();
-        stands.elapsed_us = Take<std::uint32_t>();
-        record->body = Event(stands);
+        CallEstablished established;
+        established.call = Read<std::uint32_t>();
+        established.exchange = Read<std::uint32_t>();
+        established.attempt = Read<std::uint16_t>();
+        established.elapsed_us = Read<std::uint32_t>();
+        record->body = Event(established);
         return true;
       }
       default:
-        Malformed(start, "unknown record code " + std::to_string(code));
+        ThrowMalformed(start, "unknown record code " + std::to_string(code));
     }
   }
 }
@@ -299,40 +299,40 @@
     Append(&records_, instance);
   };
   std::visit(
-      [&](const auto& act) {
-        using T = std::decay_t<decltype(act)>;
+      [&](const auto& typed_action) {
+        using T = std::decay_t<decltype(typed_action)>;
         if constexpr (std::is_same_v<T, SendSetUp>) {
           begin(ActionCode::kForward);
-          Append(&records_, act.call);
-          Append(&records_, std::min(Clip32(act.timeout_us), 0x7fffffffU));
-          Append(&records_, act.exchange);
+          Append(&records_, typed_action.call);
+          Append(&records_, std::min(ClampTo32Bits(typed_action.timeout_us), 0x7fffffffU));
+          Append(&records_, typed_action.exchange);
         } else if constexpr (std::is_same_v<T, CancelSetUp>) {
           begin(ActionCode::kRetract);
-          Append(&records_, act.call);
-          Append(&records_, static_cast<std::uint16_t>(act.attempt));
+          Append(&records_, typed_action.call);
+          Append(&records_, static_cast<std::uint16_t>(typed_action.attempt));
         } else if constexpr (std::is_same_v<T, SendProbe>) {
           begin(ActionCode::kPoll);
-          Append(&records_, act.exchange);
+          Append(&records_, typed_action.exchange);
         } else if constexpr (std::is_same_v<T, RefuseCall>) {
           begin(ActionCode::kOverloadReply);
-          Append(&records_, act.call);
-          Append(&records_, Clip32(act.retry_after_us));
+          Append(&records_, typed_action.call);
+          Append(&records_, ClampTo32Bits(typed_action.retry_after_us));
         } else if constexpr (std::is_same_v<T, FailCall>) {
           begin(ActionCode::kReportFailure);
-          Append(&records_, act.call);
+          Append(&records_, typed_action.call);
         } else if constexpr (std::is_same_v<T, SetTimer>) {
           begin(ActionCode::kDefer);
-          Append(&records_, Clip32(act.delay_us));
-          Append(&records_, act.token);
+          Append(&records_, ClampTo32Bits(typed_action.delay_us));
+          Append(&records_, typed_action.token);
         } else if constexpr (std::is_same_v<T, FetchDirectory>) {
           begin(ActionCode::kListAll);
         } else if constexpr (std::is_same_v<T, SubscribeDirectory>) {
           begin(ActionCode::kListen);
-          Append(&records_, static_cast<std::uint8_t>(act.enabled ? 1 : 0));
+          Append(&records_, static_cast<std::uint8_t>(typed_action.enabled ? 1 : 0));
         } else {
           static_assert(std::is_same_v<T, WriteLog>);
           begin(ActionCode::kJournalLine);
-          AppendText(&records_, act.text);
+          AppendText(&records_, typed_action.text);
         }
       },
       action);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,4 +1,4 @@
-// Bounds-checked reading and writing of the wire's little-endian records.
+// Encoder and bounds-checked decoder of the little-endian records of the bench protocol.
 #ifndef CROFTRUN_WIRE_CODEC_H_
 #define CROFTRUN_WIRE_CODEC_H_
 
@@ -15,16 +15,17 @@
 
 namespace croftrun::wire {
 
-// A frame that cannot be what a peer meant; the text says what and where.
+// A frame is malformed; the message states the error and its position.
 class MalformedFrame : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 inline constexpr std::size_t kBatchHeaderSize = 20;
-// Batches may reach megabytes; nothing legal is near this.
-inline constexpr std::uint32_t kLargestBatch = 1U << 30;
+// Valid batches may reach some megabytes, far below this limit.
+inline constexpr std::uint32_t kMaxBatchSize = 1U << 30;
 
+// Header of a batch of records.
 struct BatchHeader {
   std::uint32_t number = 0;
   TimeUs clock_us = 0;
@@ -32,14 +33,14 @@
   std::uint32_t record_count = 0;
 };
 
-// An instance starts; `settings` is the text as it came.
+// Starts an instance; `settings` is the unparsed settings text.
 struct Provision {
   std::uint64_t seed = 0;
   std::string settings;
 };
-// The instance was killed.
+// Ends an instance.
 struct Detach {};
-// A record that the controller has no use for (a message from a peer).
+// A record that the controller does not use (a message from a peer).
 struct Ignored {};
 
 using RecordBody = std::variant<Provision, Detach, Ignored, Event>;
@@ -49,47 +50,52 @@
   RecordBody body;
 };
 
-// The lists numbered by DIRECTORY records, valid for the whole process.
-inline constexpr std::size_t kMostLists = 16;
+// Limit and store of the lists defined by DIRECTORY records, which are valid for the whole process.
+inline constexpr std::size_t kMaxLists = 16;
 class DirectoryLists {
  public:
+  // Defines or replaces list `ref`.
   void Set(std::uint32_t ref, std::vector<DirectoryEntry> entries);
+  // Returns list `ref`; throws MalformedFrame with position `where` if it was never defined.
   const std::vector<DirectoryEntry>& Get(std::uint32_t ref, std::size_t where) const;
 
  private:
   std::map<std::uint32_t, std::vector<DirectoryEntry>> lists_;
 };
 
+// Decodes a batch header; throws MalformedFrame.
 BatchHeader DecodeBatchHeader(std::string_view bytes);
 
-// Reads the records of one batch in order.
+// Decodes the records of one batch in order.
 class BatchReader {
  public:
   BatchReader(std::string_view records, std::uint32_t record_count, DirectoryLists* lists);
-  // The next record that concerns an instance; false at the end of the batch, whose size is then checked.
+  // Decodes the next record that concerns an instance. Returns false at the end of the batch. Throws MalformedFrame,
+  // also if bytes follow the last record.
   bool Next(Record* record);
 
  private:
   template <typename T>
-  T Take();
-  std::string_view TakeBytes(std::size_t size);
-  float TakeFloat();
-  std::vector<float> TakeReport();
-  DirectoryEntry TakeEntry();
-  Outcome TakeOutcome();
+  T Read();
+  std::string_view ReadBytes(std::size_t size);
+  float ReadFloat();
+  std::vector<float> ReadReport();
+  DirectoryEntry ReadEntry();
+  Outcome ReadOutcome();
 
   std::string_view bytes_;
-  std::size_t at_ = 0;
-  std::uint32_t left_;
+  std::size_t position_ = 0;
+  std::uint32_t remaining_;
   DirectoryLists* lists_;
 };
 
-// Collects the actions of one reply.
+// Encodes the actions of one reply.
 class ReplyWriter {
  public:
   void Add(std::uint32_t instance, const Action& action);
+  // Reports an error of an instance.
   void AddBailOut(std::uint32_t instance, std::string_view text);
-  // The whole reply to the batch `number`; the writer is empty again after it.
+  // Returns the complete reply to batch `number` and clears the writer.
   std::string Finish(std::uint32_t number);
 
  private:
--- a/src/wire/host.h
+++ b/src/wire/host.h
@@ -1,4 +1,4 @@
-// Hosts controller instances behind the wire: translation only, no decision.
+// Hosts call controller instances for the bench protocol. It only translates; the controllers make the decisions.
 #ifndef CROFTRUN_WIRE_HOST_H_
 #define CROFTRUN_WIRE_HOST_H_
 
@@ -13,9 +13,10 @@
 
 namespace croftrun::wire {
 
+// All controller instances of one process.
 class Host {
  public:
-  // The reply to one batch; throws MalformedFrame.
+  // Processes one batch and returns its reply; throws MalformedFrame.
   std::string Answer(const BatchHeader& header, std::string_view records);
 
  private:
--- a/src/wire/settings_parser.cpp
+++ b/src/wire/settings_parser.cpp
@@ -13,7 +13,7 @@
 
 using Pairs = std::map<std::string, std::string, std::less<>>;
 
-[[noreturn]] void Bad(const std::string& key, std::string_view value) {
+[[noreturn]] void ThrowBadSetting(const std::string& key, std::string_view value) {
   throw BadSetting("setting " + key + ": cannot read '" + std::string(value) + "'");
 }
 
@@ -43,7 +43,7 @@
 double ToNumber(const std::string& key, std::string_view value) {
   double number = 0.0;
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
-  if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number)) Bad(key, value);
+  if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number)) ThrowBadSetting(key, value);
   return number;
 }
 
@@ -62,27 +62,28 @@
     const auto* value = Find(key);
     if (value == nullptr) return;
     const double number = ToNumber(key, *value);
-    if (number < 0.0 || number > 1e15) Bad(key, *value);
+    if (number < 0.0 || number > 1e15) ThrowBadSetting(key, *value);
     *out = static_cast<TimeUs>(number);
   }
   void Int(const std::string& key, int* out) const {
     const auto* value = Find(key);
     if (value == nullptr) return;
     const double number = ToNumber(key, *value);
-    if (std::fabs(number) > std::numeric_limits<int>::max()) Bad(key, *value);
+    if (std::fabs(number) > std::numeric_limits<int>::max()) ThrowBadSetting(key, *value);
     *out = static_cast<int>(number);
   }
   void Bool(const std::string& key, bool* out) const {
     const auto* value = Find(key);
     if (value == nullptr) return;
-    if (*value != "true" && *value != "false") Bad(key, *value);
+    if (*value != "true" && *value != "false") ThrowBadSetting(key, *value);
     *out = *value == "true";
   }
-  // The length of a list of objects; a list is bounded by the number of pairs that could describe it.
+  // Reads the length of a list of objects, which must not exceed the number of key-value pairs.
   int Count(const std::string& key) const {
     int count = 0;
     Int(key + ".count", &count);
-    if (count < 0 || static_cast<std::size_t>(count) > pairs_.size()) Bad(key + ".count", std::to_string(count));
+    if (count < 0 || static_cast<std::size_t>(count) > pairs_.size())
+      ThrowBadSetting(key + ".count", std::to_string(count));
     return count;
   }
   template <typename T>
@@ -90,7 +91,7 @@
     const auto* value = Find(key);
     if (value == nullptr) return;
     const auto found = choices.find(*value);
-    if (found == choices.end()) Bad(key, *value);
+    if (found == choices.end()) ThrowBadSetting(key, *value);
     *out = found->second;
   }
 
@@ -98,15 +99,16 @@
   Pairs pairs_;
 };
 
-// The pools of each class come as a list of lists: one key a class, or one value that joins them.
+// Reads the pools of a class. They are given either by one key per class or by one comma-separated list for all
+// classes.
 void ReadPools(const Reader& reader, std::size_t index, CallClass* call_class) {
   const std::string key = "family_info.class_cells";
-  const std::string own_key = key + "." + std::to_string(index);
+  const std::string class_key = key + "." + std::to_string(index);
   std::string_view list;
-  if (const auto* own = reader.Find(own_key)) {
-    list = *own;
-  } else if (const auto* joined = reader.Find(key)) {
-    const auto lists = SplitOn(*joined, ',');
+  if (const auto* class_value = reader.Find(class_key)) {
+    list = *class_value;
+  } else if (const auto* all_classes = reader.Find(key)) {
+    const auto lists = SplitOn(*all_classes, ',');
     if (index < lists.size()) list = lists[index];
   }
   std::string text(list);
@@ -115,8 +117,8 @@
   }
   for (const auto item : SplitOn(text, ' ')) {
     if (item.empty()) continue;
-    if (item.size() > 6) Bad(own_key, item);
-    call_class->pools.push_back(static_cast<int>(ToNumber(own_key, item)));
+    if (item.size() > 6) ThrowBadSetting(class_key, item);
+    call_class->pools.push_back(static_cast<int>(ToNumber(class_key, item)));
   }
 }
 
@@ -195,7 +197,7 @@
     if (index < widths.size()) c.width = ToNumber("family_info.widths", widths[index]);
     if (index < holdings.size()) {
       const double holding = ToNumber("family_info.holding_us", holdings[index]);
-      if (holding < 0.0 || holding > 1e15) Bad("family_info.holding_us", holdings[index]);
+      if (holding < 0.0 || holding > 1e15) ThrowBadSetting("family_info.holding_us", holdings[index]);
       c.holding_us = static_cast<TimeUs>(holding);
     }
     ReadPools(reader, index, &c);
--- a/src/wire/settings_parser.h
+++ b/src/wire/settings_parser.h
@@ -1,4 +1,4 @@
-// Translates the settings text of the wire, one path=value a line, into croftrun::Settings.
+// Parses the settings text of the bench protocol, one path=value per line, into croftrun::Settings.
 #ifndef CROFTRUN_WIRE_SETTINGS_PARSER_H_
 #define CROFTRUN_WIRE_SETTINGS_PARSER_H_
 
@@ -9,13 +9,13 @@
 
 namespace croftrun::wire {
 
-// A known key whose value does not parse; the text names both.
+// A known key has a value that cannot be parsed; the message contains both.
 class BadSetting : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Unknown keys are skipped; absent ones keep the neutral defaults of Settings.
+// Parses the settings. Unknown keys are ignored; absent keys keep the neutral defaults of Settings. Throws BadSetting.
 Settings ParseSettings(std::string_view text);
 
 }  // namespace croftrun::wire
--- a/src/wirehost.cpp
+++ b/src/wirehost.cpp
@@ -1,4 +1,4 @@
-// The adapter to the bench: frames on standard input, one reply each on standard output.
+// Bench adapter: reads frames from standard input and writes a reply to each one to standard output.
 #include <cstdio>
 #include <string>
 
@@ -7,17 +7,17 @@
 
 namespace {
 
-// Reads `size` bytes; returns how many there were before the end of input.
+// Reads up to `size` bytes; returns the number read before the end of input.
 std::size_t ReadUpTo(std::size_t size, std::string* bytes) {
   constexpr std::size_t kChunk = std::size_t{1} << 20;
   bytes->clear();
   while (bytes->size() < size) {
-    const std::size_t had = bytes->size();
-    const std::size_t want = std::min(kChunk, size - had);
-    bytes->resize(had + want);
-    const std::size_t got = std::fread(bytes->data() + had, 1, want, stdin);
-    bytes->resize(had + got);
-    if (got < want) break;
+    const std::size_t offset = bytes->size();
+    const std::size_t wanted = std::min(kChunk, size - offset);
+    bytes->resize(offset + wanted);
+    const std::size_t received = std::fread(bytes->data() + offset, 1, wanted, stdin);
+    bytes->resize(offset + received);
+    if (received < wanted) break;
   }
   return bytes->size();
 }
@@ -27,8 +27,8 @@
   Host host;
   std::string bytes;
   while (true) {
-    const std::size_t got = ReadUpTo(kBatchHeaderSize, &bytes);
-    if (got == 0) return 0;
+    const std::size_t received = ReadUpTo(kBatchHeaderSize, &bytes);
+    if (received == 0) return 0;
     const BatchHeader header = DecodeBatchHeader(bytes);
     if (ReadUpTo(header.records_size, &bytes) < header.records_size) {
       throw MalformedFrame("batch " + std::to_string(header.number) + " ends after " + std::to_string(bytes.size()) +
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -9,7 +9,7 @@
 namespace croftrun::wire {
 namespace {
 
-// One record of every kind, worked out by hand from the wire's page.
+// One record of every kind, encoded by hand from the protocol documentation.
 const char kDirectory[] = "1a 02000000 01000000  09000000 01 00 0300 01 0000803f 2a00000000000000";
 const char kTopology[] = "10 07000000 00 02000000 29000000";
 const char kAsk[] =
@@ -23,7 +23,7 @@
 const char kProvision[] = "12 05000000 0807060504030201 03000000 613d62";
 const char kHeard[] = "14 05000000 0100 0200 abcd";
 
-Record One(const std::string& hex, DirectoryLists* lists, std::uint32_t count = 1) {
+Record DecodeOne(const std::string& hex, DirectoryLists* lists, std::uint32_t count = 1) {
   const std::string bytes = Bytes(hex);
   BatchReader reader(bytes, count, lists);
   Record record;
@@ -34,12 +34,12 @@
 }
 
 template <typename T>
-T OneEvent(const std::string& hex) {
+T DecodeEvent(const std::string& hex) {
   DirectoryLists lists;
-  return std::get<T>(std::get<Event>(One(hex, &lists).body));
+  return std::get<T>(std::get<Event>(DecodeOne(hex, &lists).body));
 }
 
-TEST(Codec, BatchHeader) {
+TEST(Codec, DecodesBatchHeader) {
   const auto header = DecodeBatchHeader(Bytes("0c000000 5a5c800000000000 46000000 03000000"));
   EXPECT_EQ(header.number, 12U);
   EXPECT_EQ(header.clock_us, 0x805c5aU);
@@ -47,15 +47,15 @@
   EXPECT_EQ(header.record_count, 3U);
 }
 
-TEST(Codec, BatchHeaderOfImpossibleSize) {
+TEST(Codec, RejectsBatchHeaderOfInvalidSize) {
   EXPECT_THROW(DecodeBatchHeader(Bytes("0c000000 5a5c800000000000 03000000 03000000")), MalformedFrame);
   EXPECT_THROW(DecodeBatchHeader(Bytes("0c000000 5a5c800000000000 ffffffff 03000000")), MalformedFrame);
   EXPECT_THROW(DecodeBatchHeader(Bytes("0c000000 5a5c80")), MalformedFrame);
 }
 
-TEST(Codec, DirectoryAndTopology) {
+TEST(Codec, DecodesDirectoryAndTopology) {
   DirectoryLists lists;
-  const Record record = One(std::string(kDirectory) + kTopology, &lists, 2);
+  const Record record = DecodeOne(std::string(kDirectory) + kTopology, &lists, 2);
   EXPECT_EQ(record.instance, 7U);
   const auto& update = std::get<DirectoryUpdate>(std::get<Event>(record.body));
   EXPECT_EQ(update.kind, DirectoryKind::kFull);
@@ -69,11 +69,11 @@
   EXPECT_EQ(update.entries[0].since_us, 42U);
 }
 
-TEST(Codec, FailedListNeedsNoDirectory) {
-  EXPECT_EQ(OneEvent<DirectoryUpdate>("10 07000000 03 0f000000 00000000").kind, DirectoryKind::kFailed);
+TEST(Codec, DecodesFailedListWithoutDirectory) {
+  EXPECT_EQ(DecodeEvent<DirectoryUpdate>("10 07000000 03 0f000000 00000000").kind, DirectoryKind::kFailed);
 }
 
-TEST(Codec, UndefinedListIsMalformed) {
+TEST(Codec, RejectsUndefinedList) {
   DirectoryLists lists;
   const std::string bytes = Bytes(kTopology);
   BatchReader reader(bytes, 1, &lists);
@@ -81,8 +81,8 @@
   EXPECT_THROW(reader.Next(&record), MalformedFrame);
 }
 
-TEST(Codec, Ask) {
-  const auto call = OneEvent<CallOffered>(kAsk);
+TEST(Codec, DecodesAsk) {
+  const auto call = DecodeEvent<CallOffered>(kAsk);
   EXPECT_EQ(call.call, 17U);
   EXPECT_EQ(call.call_class, 1);
   EXPECT_EQ(call.customer, 2);
@@ -96,8 +96,8 @@
   EXPECT_FALSE(call.previously_cut);
 }
 
-TEST(Codec, Ended) {
-  const auto ended = OneEvent<AttemptEnded>(kEnded);
+TEST(Codec, DecodesEnded) {
+  const auto ended = DecodeEvent<AttemptEnded>(kEnded);
   EXPECT_EQ(ended.call, 17U);
   EXPECT_EQ(ended.exchange, 9U);
   EXPECT_EQ(ended.cause, RejectCause::kCrankbackProcessorFull);
@@ -108,27 +108,27 @@
   EXPECT_EQ(ended.report, (std::vector<float>{1.0F, 2.0F}));
 }
 
-TEST(Codec, EndedStatesAWait) {
+TEST(Codec, DecodesStatedWaitingTime) {
   // 3 + 16 x 250 ms = 4003 = 0x0fa3
-  const auto ended = OneEvent<AttemptEnded>("18 03000000 11000000 09000000 a30f0000 0000 44480000 ad01 00 00");
+  const auto ended = DecodeEvent<AttemptEnded>("18 03000000 11000000 09000000 a30f0000 0000 44480000 ad01 00 00");
   EXPECT_EQ(ended.cause, RejectCause::kProcessorFull);
   EXPECT_EQ(ended.wait_us, 250'000U);
 }
 
-TEST(Codec, OtherEvents) {
-  EXPECT_EQ(OneEvent<CallEstablished>(kFirst).elapsed_us, 1000U);
-  EXPECT_EQ(OneEvent<TimerExpired>(kElapsed).token, 0x4dU);
-  EXPECT_EQ(OneEvent<LoadReportReceived>(kEcho).report, (std::vector<float>{3.0F, 5.0F}));
-  EXPECT_EQ(OneEvent<CallAbandoned>(kGone).call, 0x0e6f2b19U);
+TEST(Codec, DecodesOtherEvents) {
+  EXPECT_EQ(DecodeEvent<CallEstablished>(kFirst).elapsed_us, 1000U);
+  EXPECT_EQ(DecodeEvent<TimerExpired>(kElapsed).token, 0x4dU);
+  EXPECT_EQ(DecodeEvent<LoadReportReceived>(kEcho).report, (std::vector<float>{3.0F, 5.0F}));
+  EXPECT_EQ(DecodeEvent<CallAbandoned>(kGone).call, 0x0e6f2b19U);
   DirectoryLists lists;
-  EXPECT_TRUE(std::holds_alternative<Detach>(One(kDetach, &lists).body));
-  EXPECT_TRUE(std::holds_alternative<Ignored>(One(kHeard, &lists).body));
-  const auto provision = std::get<Provision>(One(kProvision, &lists).body);
+  EXPECT_TRUE(std::holds_alternative<Detach>(DecodeOne(kDetach, &lists).body));
+  EXPECT_TRUE(std::holds_alternative<Ignored>(DecodeOne(kHeard, &lists).body));
+  const auto provision = std::get<Provision>(DecodeOne(kProvision, &lists).body);
   EXPECT_EQ(provision.seed, 0x0102030405060708U);
   EXPECT_EQ(provision.settings, "a=b");
 }
 
-TEST(Codec, EveryTruncationIsMalformed) {
+TEST(Codec, RejectsEveryTruncation) {
   for (const char* hex : {kDirectory, kAsk, kEnded, kFirst, kElapsed, kEcho, kGone, kDetach, kProvision, kHeard}) {
     const std::string whole = Bytes(hex);
     for (std::size_t size = 0; size < whole.size(); ++size) {
@@ -141,7 +141,7 @@
   }
 }
 
-TEST(Codec, UnknownCodesAndStrayBytesAreMalformed) {
+TEST(Codec, RejectsUnknownCodesAndTrailingBytes) {
   for (const char* hex : {"63 05000000", "1b 05000000 1100", "16 05000000 192b6f0e 00",
                           "18 03000000 11000000 09000000 00000000 0000 44480000 0100 01 00"}) {
     DirectoryLists lists;
@@ -152,7 +152,7 @@
   }
 }
 
-TEST(Codec, RandomBytesNeverReadPastTheEnd) {
+TEST(Codec, SurvivesCorruptedRecords) {
   std::mt19937 random(7);
   for (int round = 0; round < 20000; ++round) {
     std::string bytes = Bytes(std::string(kDirectory) + kTopology + kAsk + kEnded + kEcho + kProvision);
@@ -173,7 +173,7 @@
   }
 }
 
-TEST(Codec, Reply) {
+TEST(Codec, EncodesReply) {
   ReplyWriter writer;
   writer.Add(3, SendSetUp{0x5d3a91c4, 0x03124a07, 80000});
   writer.Add(3, SetTimer{500000, 0x4d});
@@ -185,7 +185,7 @@
   EXPECT_EQ(writer.Finish(1), Bytes("01000000 00000000 00000000"));
 }
 
-TEST(Codec, ReplyOfEveryOtherAction) {
+TEST(Codec, EncodesEveryOtherAction) {
   ReplyWriter writer;
   writer.Add(1, CancelSetUp{2, 3});
   writer.Add(1, SendProbe{4});
--- a/tests/settings_parser_test.cpp
+++ b/tests/settings_parser_test.cpp
@@ -5,7 +5,7 @@
 namespace croftrun::wire {
 namespace {
 
-TEST(SettingsParser, ReadsWhatItKnowsAndSkipsTheRest) {
+TEST(SettingsParser, ReadsKnownKeysAndIgnoresOthers) {
   const Settings s = ParseSettings(
       "balancers=4\nunheard_of.key=whatever\nfamily_info.home_no=2\nfamily_info.shape=meshed\n"
       "family_info.release_us=300000\nfamily_info.widths=1,4\nfamily_info.holding_us=10000,20000\n"
@@ -30,14 +30,14 @@
   EXPECT_EQ(s.warm_up_start_share, 0.36);
 }
 
-TEST(SettingsParser, AbsentKeysAreNeutral) {
+TEST(SettingsParser, KeepsDefaultsForAbsentKeys) {
   const Settings s = ParseSettings("");
   EXPECT_EQ(s.max_attempts, 1);
   EXPECT_FALSE(s.may_probe);
   EXPECT_TRUE(s.classes.empty());
 }
 
-TEST(SettingsParser, PoolsOfEachClass) {
+TEST(SettingsParser, ReadsPoolsOfEachClass) {
   const Settings s = ParseSettings(
       "family_info.shape=groups\nfamily_info.class_cells.0=1,3\nfamily_info.class_cells.1=2\ngrades.count="
       "2\n");
@@ -46,7 +46,7 @@
   EXPECT_EQ(s.classes[1].pools, (std::vector<int>{2}));
 }
 
-TEST(SettingsParser, NamesWhatItCannotRead) {
+TEST(SettingsParser, NamesInvalidSettings) {
   for (const char* text : {"balancers=four", "discovery=pigeon", "allowed.probes=yes", "grades.count=-1",
                            "grades.count=99999", "contract.fall_us=-5", "family_info.release_us=nan"}) {
     try {
--- a/tests/wire_bytes.h
+++ b/tests/wire_bytes.h
@@ -1,4 +1,4 @@
-// Bytes written by hand in tests.
+// Helper for binary test data.
 #ifndef CROFTRUN_TESTS_WIRE_BYTES_H_
 #define CROFTRUN_TESTS_WIRE_BYTES_H_
 
@@ -7,7 +7,7 @@
 
 namespace croftrun::wire {
 
-// Hexadecimal digits, spaces ignored.
+// Converts hexadecimal digits to bytes; spaces and newlines are ignored.
 inline std::string Bytes(std::string_view hex) {
   std::string bytes;
   int high = -1;
--- a/tests/wirehost_test.sh
+++ b/tests/wirehost_test.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# The adapter as a process: exit codes, one plain line on standard error, no reply to a malformed batch.
+# Tests the bench adapter as a process: exit codes, a single line on standard error, no reply to a malformed batch.
 set -euo pipefail
 host=$1
 scratch=$(mktemp -d)
