--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -1,5 +1,5 @@
-// libFuzzer: whatever the file holds, the settings loader either tells mistakes or gives settings whose number plan
-// answers; it never throws.
+// libFuzzer target: for any input, the settings loader either reports mistakes or returns settings with a valid number
+// plan, and never throws.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/src/config/json_settings.cpp
+++ b/src/config/json_settings.cpp
@@ -21,7 +21,8 @@
   nlohmann::json value;
   try {
     value = nlohmann::json::parse(text);
-  } catch (const nlohmann::json::exception& error) {  // also what is no parse error: a number out of range
+  } catch (const nlohmann::json::exception& error) {
+    // Not only syntax errors: a number out of range, for instance, is reported by another exception class.
     mistakes->push_back({"", error.what()});
     return value;
   }
@@ -34,15 +35,15 @@
   if (validator.validate(schema, valijson::adapters::NlohmannJsonAdapter(value), &results)) return value;
   valijson::ValidationResults::Error error;
   while (results.popError(error)) {
-    // "Failed to validate against schema associated with property name" only repeats, for each level above, what
-    // the error of the level itself says.
+    // "Failed to validate against schema associated with property name" only repeats the error of a lower level at each
+    // level above it.
     if (error.description.find("Failed to validate against schema associated") != std::string::npos ||
         error.description.find("Failed to validate item") != std::string::npos)
       continue;
-    // The context is "<root>", "[name]", "[name]" ...
+    // The context has the form "<root>", "[name]", "[name]" ...
     std::string path;
-    for (const std::string& term : error.context) {
-      if (term.size() > 2 && term.front() == '[') path += "/" + term.substr(1, term.size() - 2);
+    for (const std::string& component : error.context) {
+      if (component.size() > 2 && component.front() == '[') path += "/" + component.substr(1, component.size() - 2);
     }
     mistakes->push_back({path, error.description});
   }
@@ -50,21 +51,22 @@
   return value;
 }
 
-std::string ReadFile(const std::string& path, std::size_t most_bytes, std::vector<Mistake>* mistakes) {
+std::string ReadFile(const std::string& path, std::size_t max_bytes, std::vector<Mistake>* mistakes) {
   std::ifstream file(path, std::ios::binary);
   if (!file) {
     mistakes->push_back({"", "cannot read " + path});
     return {};
   }
-  // Piece by piece: the bound may be many times the file, and what is taken for it at once counts for ever.
+  // Reads in chunks: the limit may be many times the file size, and memory once allocated for it would count
+  // permanently.
   std::string text;
-  std::array<char, 16 << 10> piece{};
-  while (file && text.size() <= most_bytes) {
-    file.read(piece.data(), piece.size());
-    text.append(piece.data(), static_cast<std::size_t>(file.gcount()));
+  std::array<char, 16 << 10> chunk{};
+  while (file && text.size() <= max_bytes) {
+    file.read(chunk.data(), chunk.size());
+    text.append(chunk.data(), static_cast<std::size_t>(file.gcount()));
   }
-  if (text.size() > most_bytes) {
-    mistakes->push_back({"", path + " is over " + std::to_string(most_bytes) + " bytes"});
+  if (text.size() > max_bytes) {
+    mistakes->push_back({"", path + " is over " + std::to_string(max_bytes) + " bytes"});
     text.clear();
   }
   return text;
--- a/src/config/json_settings.h
+++ b/src/config/json_settings.h
@@ -1,4 +1,4 @@
-// Package config: reading JSON settings against a JSON Schema, with every error told at once.
+// Reads JSON settings and validates them against a JSON Schema, reporting all errors at once.
 #ifndef CROFTRUN_CONFIG_JSON_SETTINGS_H_
 #define CROFTRUN_CONFIG_JSON_SETTINGS_H_
 
@@ -10,26 +10,26 @@
 
 namespace croftrun::config {
 
-// One mistake in a settings file. `path` is where, as in /groups/0/circuits; empty for the whole file.
+// An error in a settings file. `path` is its location, such as /groups/0/circuits; empty for the file as a whole.
 struct Mistake {
   std::string path;
   std::string text;
 };
 std::string ToString(const std::vector<Mistake>& mistakes);
 
-// Parses `text` and checks it against `schema` (the text of a JSON Schema, draft 7). Appends what is wrong;
-// the value is only of use where nothing was.
+// Parses `text` and validates it against `schema` (the text of a JSON Schema, draft 7). Appends the errors found; the
+// returned value may only be used if there are none.
 nlohmann::json ParseAgainst(std::string_view text, std::string_view schema, std::vector<Mistake>* mistakes);
 
-// The file's text; appends a mistake if it cannot be read or is over `most_bytes`.
-std::string ReadFile(const std::string& path, std::size_t most_bytes, std::vector<Mistake>* mistakes);
+// Reads a text file. Appends an error if it cannot be read or is longer than `max_bytes`.
+std::string ReadFile(const std::string& path, std::size_t max_bytes, std::vector<Mistake>* mistakes);
 
-// A key of a checked object into `*out`, which keeps its default where the key is absent.
+// Reads a key of a validated object into `*out`; leaves `*out` unchanged if the key is absent.
 template <typename T>
 void Value(const nlohmann::json& object, const char* key, T* out) {
   if (object.contains(key)) *out = object.at(key).get<T>();
 }
-// The same for a time: milliseconds in the file, microseconds in the program.
+// Reads a time given in milliseconds into `*out_us` as microseconds.
 inline void Time(const nlohmann::json& object, const char* key, std::uint64_t* out_us) {
   if (object.contains(key)) *out_us = object.at(key).get<std::uint64_t>() * 1000;
 }
--- a/src/core/call_core.cpp
+++ b/src/core/call_core.cpp
@@ -8,16 +8,18 @@
 namespace croftrun::core {
 namespace {
 
-// Directory entries kept, gone ones included: a fleet of the largest size seen, many times replaced.
-constexpr std::size_t kMostDirectory = 4096;
+// Directory entries kept, including exchanges that are gone: enough for the largest fleet seen to be replaced many
+// times.
+constexpr std::size_t kMaxDirectoryEntries = 4096;
 
-// The version of the rules a call is under, for the log: the same from its first line to its last.
-std::string UnderRules(const CallRequest& offer) {
-  return offer.rules == 0 ? std::string() : ", rules " + std::to_string(offer.rules);
+// Log suffix with the version of the rules that classified the call. It does not change during the call.
+std::string RulesSuffix(const CallRequest& request) {
+  return request.rules == 0 ? std::string() : ", rules " + std::to_string(request.rules);
 }
 
-// What a release before the answer means to the module. `direct`: the attempt went to the destination itself.
-AttemptResult Meaning(const ReleaseInfo& info, int sent_to, bool direct) {
+// Translates a release before the answer into the attempt result reported to the module. `direct`: the attempt was sent
+// to the destination itself.
+AttemptResult ResultOfRelease(const ReleaseInfo& info, int sent_to, bool direct) {
   if (info.attempt_result) return *info.attempt_result;
   switch (info.cause) {
     case ReleaseCause::kUserBusy:
@@ -27,7 +29,7 @@
     case ReleaseCause::kNoCircuit:
       return {Outcome::kRejected, direct ? RejectCause::kNoCircuit : RejectCause::kCrankback};
     case ReleaseCause::kCongestion:
-      // Said by the exchange that the set-up was sent to, or by one behind it.
+      // The cause was given by the exchange the set-up was sent to, or by one beyond it.
       return {Outcome::kRejected, info.exchange_number < 0 || info.exchange_number == sent_to
                                       ? RejectCause::kProcessorFull
                                       : RejectCause::kCrankbackProcessorFull};
@@ -54,9 +56,9 @@
     : settings_(settings),
       runtime_(runtime),
       log_(log),
-      gate_(settings.overload),
-      chance_(settings.seed | 1U),
-      finish_(runtime) {
+      overload_gate_(settings.overload),
+      random_state_(settings.seed | 1U),
+      shutdown_timer_(runtime) {
   for (const GroupSettings& group : settings_.groups) {
     groups_.emplace(group.number, CircuitGroup(group.circuits, own_number() < group.number));
   }
@@ -68,7 +70,7 @@
 
 CallCore::~CallCore() {
   for (const TimerId timer : module_timers_) runtime_->CancelTimer(timer);
-  for (const auto& [circuit, timer] : rests_) runtime_->CancelTimer(timer);
+  for (const auto& [circuit, timer] : rest_timers_) runtime_->CancelTimer(timer);
   for (auto& [id, call] : calls_) {
     runtime_->CancelTimer(call.deadline);
     if (call.attempt) runtime_->CancelTimer(call.attempt->timeout);
@@ -92,15 +94,15 @@
 
 // ---- the module ----
 
-// The module is never entered from within itself: events wait in order while its actions are carried out.
+// The module is not re-entrant: events that occur while its actions are carried out are queued in order.
 void CallCore::PostEvent(Event event) {
   events_.push_back(std::move(event));
-  Drain();
+  ProcessEvents();
 }
 
-void CallCore::Drain() {
-  if (draining_) return;
-  draining_ = true;
+void CallCore::ProcessEvents() {
+  if (processing_events_) return;
+  processing_events_ = true;
   std::vector<Action> actions;
   while (!events_.empty()) {
     const Event event = std::move(events_.front());
@@ -109,71 +111,72 @@
     decider_->Handle(runtime_->Now(), event, &actions);
     for (const Action& action : actions) std::visit([this](const auto& a) { Execute(a); }, action);
   }
-  draining_ = false;
-  while (!hang_ups_.empty()) {
-    const CallId id = hang_ups_.front();
-    hang_ups_.pop_front();
+  processing_events_ = false;
+  while (!deferred_hang_ups_.empty()) {
+    const CallId id = deferred_hang_ups_.front();
+    deferred_hang_ups_.pop_front();
     HangUp(id);
   }
 }
 
-std::vector<float> CallCore::Figures(int number) const {
+std::vector<float> CallCore::GroupFigures(int number) const {
   if (settings_.network_manages_circuits) return {};
   const CircuitGroup* group = Group(number);
   if (group == nullptr) return {0.0F, 0.0F};
   return {static_cast<float>(group->Count(CircuitState::kIdle)), static_cast<float>(group->InUse())};
 }
 
-void CallCore::TellSpare(int number) {
+void CallCore::ReportFreeCircuits(int number) {
   if (settings_.network_manages_circuits) return;
-  const auto found = by_number_.find(number);
-  if (found == by_number_.end()) return;
-  // By index: what the module does with it may bring news of the directory.
+  const auto found = exchanges_by_number_.find(number);
+  if (found == exchanges_by_number_.end()) return;
+  // Iterates by index because the module's reaction may change the directory.
   for (std::size_t i = 0; i < found->second.size(); ++i)
-    PostEvent(LoadReportReceived{.exchange = found->second[i], .report = Figures(number)});
+    PostEvent(LoadReportReceived{.exchange = found->second[i], .report = GroupFigures(number)});
 }
 
-void CallCore::IndexDirectory() {
-  by_number_.clear();
+void CallCore::IndexDirectoryByNumber() {
+  exchanges_by_number_.clear();
   for (const auto& [id, entry] : directory_) {
-    if (entry.status != ExchangeStatus::kGone) by_number_[entry.number].push_back(id);
+    if (entry.status != ExchangeStatus::kGone) exchanges_by_number_[entry.number].push_back(id);
   }
 }
 
-bool CallCore::Seize(int number, CallId id, Call* call) {
+bool CallCore::SeizeCircuits(int number, CallId id, Call* call) {
   if (settings_.network_manages_circuits) return true;
   const auto group = groups_.find(number);
-  return group != groups_.end() && group->second.Seize(call->offer.width, id, &call->out.circuits);
+  return group != groups_.end() && group->second.Seize(call->request.width, id, &call->out.circuits);
 }
 
 void CallCore::Execute(const SendSetUp& send) {
   Call* call = Find(send.call);
-  if (call == nullptr || call->attempt || call->answered) return;  // the caller hung up meanwhile
+  if (call == nullptr || call->attempt || call->answered) return;  // the caller has hung up in the meantime
   const int number = NumberOf(send.exchange);
   const int index = call->attempts++;
   ++counters_.attempts;
   call->attempt = Attempt{.index = index, .exchange = send.exchange, .sent_at = runtime_->Now()};
   call->out = CircuitSet{number, {}, send.call};
   if (call->owner != nullptr && call->owner->HasLeft(send.call)) {
-    // Nothing is sent for a caller who left, nor told to him: the module hears of the attempt's end, then of his.
+    // The caller has left: no set-up is sent and no answer is given. The module receives the end of the attempt first,
+    // then the caller's hang-up.
     call->answered = true;
     ++counters_.hung_up;
-    hang_ups_.push_back(send.call);
+    deferred_hang_ups_.push_back(send.call);
     return EndAttempt(send.call, *call, Outcome::kCancelled, RejectCause::kNone, {}, false);
   }
-  if (trunks_ == nullptr || !Seize(number, send.call, call)) {
+  if (trunks_ == nullptr || !SeizeCircuits(number, send.call, call)) {
     ++counters_.moot;
     return EndAttempt(send.call, *call, Outcome::kNotSent, RejectCause::kNoCircuit, {}, false);
   }
   const TimeUs now = runtime_->Now();
-  const TimeUs end = call->taken_at + call->offer.caller_timeout_us - settings_.answer_margin_us;
-  const TimeUs left = end > now ? end - now : 0;
+  const TimeUs deadline = call->accepted_at + call->request.caller_timeout_us - settings_.answer_margin_us;
+  const TimeUs left = deadline > now ? deadline - now : 0;
   const TimeUs timeout = send.timeout_us == 0 ? left : std::min(send.timeout_us, left);
   call->attempt->timeout =
       runtime_->StartTimer(timeout, [this, id = send.call, index] { OnAttemptTimeout(id, index); });
-  const TrunkSetUp set_up{call->out, index, send.exchange, &call->offer, call->origin, timeout};
+  const TrunkSetUp set_up{call->out, index, send.exchange, &call->request, call->origin, timeout};
   trunks_->SetUp(set_up);
-  TellSpare(number);
+  ReportFreeCircuits(number);
 }
 
 void CallCore::Execute(const CancelSetUp& cancel) {
@@ -192,19 +195,19 @@
 void CallCore::Execute(const RefuseCall& refuse) {
   if (Call* call = Find(refuse.call); call != nullptr && !call->attempt) {
     const ReleaseInfo info = call->last_release;
-    GiveFinal(refuse.call, *call, {FinalKind::kRefused, refuse.retry_after_us, info.cause});
+    SendFinalAnswer(refuse.call, *call, {FinalKind::kRefused, refuse.retry_after_us, info.cause});
   }
 }
 
 void CallCore::Execute(const FailCall& fail) {
   if (Call* call = Find(fail.call); call != nullptr && !call->attempt) {
     const ReleaseCause cause = call->last_release.cause;
-    GiveFinal(fail.call, *call, {FinalKind::kFailed, 0, cause});
+    SendFinalAnswer(fail.call, *call, {FinalKind::kFailed, 0, cause});
   }
 }
 
 void CallCore::Execute(const SetTimer& timer) {
-  // The id is known only after the timer was started, and the timer never fires from within StartTimer.
+  // The id is available only after the timer has been started; timers do not fire from within StartTimer.
   auto id = std::make_shared<TimerId>(kNoTimer);
   *id = runtime_->StartTimer(timer.delay_us, [this, id, token = timer.token] {
     module_timers_.erase(*id);
@@ -213,7 +216,7 @@
   module_timers_.insert(*id);
 }
 
-// The roster is pushed to every softswitch, so there is nothing to ask for; see DirectoryUpdate.
+// Directory updates are pushed to every softswitch (see DirectoryUpdate), so these actions need no work.
 void CallCore::Execute(const FetchDirectory&) {}
 void CallCore::Execute(const SubscribeDirectory&) {}
 
@@ -226,18 +229,18 @@
   return next_call_++;
 }
 
-CallId CallCore::NewCall(const CallRequest& offer, CallOwner* owner, int origin, CallId reserved) {
+CallId CallCore::NewCall(const CallRequest& request, CallOwner* owner, int origin, CallId reserved) {
   const CallId id = reserved != 0 ? reserved : Reserve();
   Call& call = calls_[id];
-  call.offer = offer;
+  call.request = request;
   call.owner = owner;
   call.origin = origin;
-  call.taken_at = runtime_->Now();
+  call.accepted_at = runtime_->Now();
   return id;
 }
 
-bool CallCore::RefusedAtOnce() {
-  gate_.Note(runtime_->Now(), runtime_->QueueDelay());
+bool CallCore::ShouldRefuseNewCall() {
+  overload_gate_.RecordDelay(runtime_->Now(), runtime_->QueueDelay());
   if (stopping_) {
     ++counters_.refused_stopping;
     return true;
@@ -246,119 +249,122 @@
     ++counters_.refused_full;
     return true;
   }
-  // xorshift64: the draws need to be even, not more.
-  chance_ ^= chance_ << 13U;
-  chance_ ^= chance_ >> 7U;
-  chance_ ^= chance_ << 17U;
-  if (!gate_.Refuses(static_cast<double>(chance_ >> 11U) * 0x1.0p-53)) return false;
+  // xorshift64: the random numbers only need to be uniformly distributed.
+  random_state_ ^= random_state_ << 13U;
+  random_state_ ^= random_state_ >> 7U;
+  random_state_ ^= random_state_ << 17U;
+  if (!overload_gate_.ShouldRefuse(static_cast<double>(random_state_ >> 11U) * 0x1.0p-53)) return false;
   ++counters_.refused_overload;
   return true;
 }
 
-void CallCore::RecordRefusedCall(const CallRequest& offer, CallOwner* owner, CallId reserved, TimeUs pause_us) {
+void CallCore::RecordRefusedCall(const CallRequest& request, CallOwner* owner, CallId reserved, TimeUs retry_after_us) {
   ++counters_.offered;
   ++counters_.refused_door;
-  const CallId id = NewCall(offer, owner, own_number(), reserved);
-  GiveFinal(id, calls_[id], {FinalKind::kRefused, pause_us, ReleaseCause::kCongestion});
+  const CallId id = NewCall(request, owner, own_number(), reserved);
+  SendFinalAnswer(id, calls_[id], {FinalKind::kRefused, retry_after_us, ReleaseCause::kCongestion});
 }
 
-void CallCore::RecordAbandonedCall(const CallRequest& offer, CallId reserved) {
+void CallCore::RecordAbandonedCall(const CallRequest& request, CallId reserved) {
   ++counters_.offered;
   ++counters_.hung_up;
-  NewCall(offer, nullptr, own_number(), reserved);
-  Forget(reserved, {});
+  NewCall(request, nullptr, own_number(), reserved);
+  RemoveCall(reserved, {});
 }
 
-CallId CallCore::AcceptCall(const CallRequest& offer, CallOwner* owner, CallId reserved) {
+CallId CallCore::AcceptCall(const CallRequest& request, CallOwner* owner, CallId reserved) {
   ++counters_.offered;
-  const bool refused = RefusedAtOnce();
-  const CallId id = NewCall(offer, owner, own_number(), reserved);
+  const bool refused = ShouldRefuseNewCall();
+  const CallId id = NewCall(request, owner, own_number(), reserved);
   if (refused) {
-    GiveFinal(id, calls_[id], {FinalKind::kRefused, 0, ReleaseCause::kCongestion});
+    SendFinalAnswer(id, calls_[id], {FinalKind::kRefused, 0, ReleaseCause::kCongestion});
     return id;
   }
   if (owner != nullptr) owner->OnAccepted(id);
-  Begin(id);
+  StartCall(id);
   return id;
 }
 
-SeizureResult CallCore::AcceptIncoming(int number, const std::vector<CircuitNumber>& circuits, const CallRequest& offer,
-                                       int origin) {
+SeizureResult CallCore::AcceptIncoming(int number, const std::vector<CircuitNumber>& circuits,
+                                       const CallRequest& request, int origin) {
   const auto group = groups_.find(number);
   if (group == groups_.end() || circuits.empty()) return SeizureResult::kNotInService;
-  const bool refused = RefusedAtOnce();
-  const CallId id = NewCall(offer, nullptr, origin);
+  const bool refused = ShouldRefuseNewCall();
+  const CallId id = NewCall(request, nullptr, origin);
   Call& call = calls_[id];
   call.in = CircuitSet{number, {}, id};
   for (const CircuitNumber circuit : circuits) {
-    if (!group->second.SeizedByFarEnd(circuit, id)) break;
+    if (!group->second.SeizeByFarEnd(circuit, id)) break;
     call.in.circuits.push_back(circuit);
   }
   if (call.in.circuits.size() != circuits.size()) {
-    // All or nothing. What was taken here goes back as it was: the far end never had our word on it.
-    const std::size_t call_taken = call.in.circuits.size();
+    // The seizure is all or nothing. Circuits seized so far become idle again at once, since no response has been sent
+    // to the far end.
+    const std::size_t seized = call.in.circuits.size();
     for (const CircuitNumber circuit : call.in.circuits) {
       group->second.Release(circuit, id);
       group->second.Confirm(circuit);
     }
     calls_.erase(id);
-    const CircuitNumber missed = circuits[call_taken];
-    const bool out = missed >= group->second.size() || group->second.State(missed) == CircuitState::kOutOfService;
-    ++(out ? counters_.not_in_service : counters_.glare);
-    return out ? SeizureResult::kNotInService : SeizureResult::kGlare;
+    const CircuitNumber failed = circuits[seized];
+    const bool out_of_service =
+        failed >= group->second.size() || group->second.State(failed) == CircuitState::kOutOfService;
+    ++(out_of_service ? counters_.not_in_service : counters_.glare);
+    return out_of_service ? SeizureResult::kNotInService : SeizureResult::kGlare;
   }
   ++counters_.incoming;
-  TellSpare(number);
+  ReportFreeCircuits(number);
   if (refused) {
-    if (Call* fresh = Find(id)) GiveFinal(id, *fresh, {FinalKind::kRefused, 0, ReleaseCause::kCongestion});
+    if (Call* found = Find(id)) SendFinalAnswer(id, *found, {FinalKind::kRefused, 0, ReleaseCause::kCongestion});
     return SeizureResult::kAccepted;
   }
-  Begin(id);
+  StartCall(id);
   return SeizureResult::kAccepted;
 }
 
-void CallCore::Begin(CallId id) {
+void CallCore::StartCall(CallId id) {
   Call& call = calls_[id];
-  if (finish_by_ != 0) {
+  if (shutdown_deadline_ != 0) {
     const TimeUs now = runtime_->Now();
-    call.offer.caller_timeout_us = std::min(call.offer.caller_timeout_us, finish_by_ > now ? finish_by_ - now : 0);
+    call.request.caller_timeout_us =
+        std::min(call.request.caller_timeout_us, shutdown_deadline_ > now ? shutdown_deadline_ - now : 0);
   }
   if (log_->IsEnabled(LogLevel::kDebug))
     log_->Write(LogLevel::kDebug, "taken", id,
-                call.offer.calling + " to " + call.offer.called + UnderRules(call.offer));
-  const TimeUs margin = std::min(settings_.answer_margin_us, call.offer.caller_timeout_us / 2);
-  const TimeUs budget = call.offer.caller_timeout_us - margin;
-  if (call.offer.destination == own_number() && !settings_.network_manages_circuits) {
+                call.request.calling + " to " + call.request.called + RulesSuffix(call.request));
+  const TimeUs margin = std::min(settings_.answer_margin_us, call.request.caller_timeout_us / 2);
+  const TimeUs budget = call.request.caller_timeout_us - margin;
+  if (call.request.destination == own_number() && !settings_.network_manages_circuits) {
     ++counters_.terminating;
     call.state = State::kRinging;
     call.deadline = runtime_->StartTimer(budget, [this, id] { OnDeadline(id); });
     const ReleaseCause cause =
-        line_driver_ != nullptr ? line_driver_->Ring(id, call.offer) : ReleaseCause::kUnallocated;
+        line_driver_ != nullptr ? line_driver_->Ring(id, call.request) : ReleaseCause::kUnallocated;
     if (cause != ReleaseCause::kNormal) OnRingReleased(id, cause);
     return;
   }
-  // A safety net under the module's own timers: whatever happens, the caller is answered in time.
-  const TimeUs net = budget + margin / 2 + settings_.forgotten_call_timeout_us;
-  call.deadline = runtime_->StartTimer(net, [this, id] { OnDeadline(id); });
-  call.module_knows = true;
+  // Fallback for the module's own timers, so that the caller is always answered in time.
+  const TimeUs fallback_timeout = budget + margin / 2 + settings_.forgotten_call_timeout_us;
+  call.deadline = runtime_->StartTimer(fallback_timeout, [this, id] { OnDeadline(id); });
+  call.known_to_module = true;
   CallOffered offered;
   offered.call = id;
-  offered.call_class = call.offer.call_class;
-  offered.customer = call.offer.customer;
+  offered.call_class = call.request.call_class;
+  offered.customer = call.request.customer;
   offered.number_called =
-      call.offer.key != 0 || settings_.network_manages_circuits ? call.offer.key : NumberKey(call.offer.called);
+      call.request.key != 0 || settings_.network_manages_circuits ? call.request.key : NumberKey(call.request.called);
   offered.budget_us = budget;
-  offered.destination = call.offer.destination;
-  offered.width = static_cast<double>(call.offer.width);
-  offered.via = call.owner == nullptr ? call.origin : call.offer.advised_tandem;
-  offered.is_redial = call.offer.is_redial;
-  offered.in_transit = call.owner == nullptr || call.offer.in_transit;
-  offered.previously_cut = call.offer.previously_cut;
+  offered.destination = call.request.destination;
+  offered.width = static_cast<double>(call.request.width);
+  offered.via = call.owner == nullptr ? call.origin : call.request.advised_tandem;
+  offered.is_redial = call.request.is_redial;
+  offered.in_transit = call.owner == nullptr || call.request.in_transit;
+  offered.previously_cut = call.request.previously_cut;
   PostEvent(offered);
 }
 
-bool CallCore::TooLate(const Call& call) {
-  if (runtime_->Now() < call.taken_at + call.offer.caller_timeout_us) return false;
+bool CallCore::HasCallerTimedOut(const Call& call) {
+  if (runtime_->Now() < call.accepted_at + call.request.caller_timeout_us) return false;
   ++counters_.too_late;
   return true;
 }
@@ -373,54 +379,55 @@
   }
   ++counters_.overdue;
   log_->Write(LogLevel::kError, "overdue", id, "no final answer from the module in time");
-  FailUnanswered(id);
+  FailUnansweredCall(id);
 }
 
-void CallCore::FailUnanswered(CallId id) {
+void CallCore::FailUnansweredCall(CallId id) {
   Call* call = Find(id);
   if (call == nullptr || call->answered) return;
   if (call->attempt) EndAttempt(id, *call, Outcome::kTimeout, RejectCause::kNone, {ReleaseCause::kTimerExpiry}, false);
   if ((call = Find(id)) != nullptr && !call->answered) {
     PostEvent(CallAbandoned{id});
     if ((call = Find(id)) != nullptr && !call->answered)
-      GiveFinal(id, *call, {FinalKind::kFailed, 0, ReleaseCause::kTimerExpiry});
+      SendFinalAnswer(id, *call, {FinalKind::kFailed, 0, ReleaseCause::kTimerExpiry});
   }
 }
 
-CallId CallCore::AdoptCall(const CallRequest& offer, CallOwner* owner, ExchangeId at) {
+CallId CallCore::AdoptCall(const CallRequest& request, CallOwner* owner, ExchangeId at) {
   if (calls_.size() >= settings_.max_calls) {
     ++counters_.refused_full;
     return 0;
   }
-  const CallId id = NewCall(offer, owner, own_number());
+  const CallId id = NewCall(request, owner, own_number());
   Call& call = calls_[id];
   call.state = State::kEstablished;
   call.answered = true;
-  call.answered_at = call.taken_at;
+  call.answered_at = call.accepted_at;
   call.attempts = 1;
   call.out = CircuitSet{NumberOf(at), {}, id};
-  call.attempt = Attempt{.index = 0, .exchange = at, .sent_at = call.taken_at, .stood_at = call.taken_at};
+  call.attempt = Attempt{.index = 0, .exchange = at, .sent_at = call.accepted_at, .established_at = call.accepted_at};
   return id;
 }
 
 void CallCore::HangUp(CallId id) {
-  // While the module is at work it may just be sending this call: its attempt must get an end it hears of.
-  if (draining_) return hang_ups_.push_back(id);
+  // While events are being processed, the module may be sending a set-up for this call, and the end of that attempt
+  // must be reported to it. The hang-up is therefore carried out afterwards.
+  if (processing_events_) return deferred_hang_ups_.push_back(id);
   Call* call = Find(id);
   if (call == nullptr) return;
-  const bool stood = call->state == State::kEstablished;
-  if (stood) ++counters_.ended;
+  const bool established = call->state == State::kEstablished;
+  if (established) ++counters_.ended;
   if (!call->answered) ++counters_.hung_up;
-  call->answered = true;  // nothing is told to the caller any more
+  call->answered = true;  // no final answer is sent from here on
   call->owner = nullptr;
-  if (call->module_knows && !stood) PostEvent(CallAbandoned{id});
+  if (call->known_to_module && !established) PostEvent(CallAbandoned{id});
   if ((call = Find(id)) == nullptr) return;
   if (call->attempt) {
-    EndAttempt(id, *call, stood ? Outcome::kOk : Outcome::kCancelled, RejectCause::kNone, {}, true);
-  } else if (call->offer.destination == own_number() && line_driver_ != nullptr) {
+    EndAttempt(id, *call, established ? Outcome::kOk : Outcome::kCancelled, RejectCause::kNone, {}, true);
+  } else if (call->request.destination == own_number() && line_driver_ != nullptr) {
     line_driver_->StopRinging(id, ReleaseCause::kNormal);
   }
-  Forget(id, {});
+  RemoveCall(id, {});
 }
 
 void CallCore::OnCallerSession(CallId id, std::string_view session) {
@@ -432,13 +439,13 @@
 void CallCore::OnRingAnswered(CallId id, std::string_view session) {
   Call* call = Find(id);
   if (call == nullptr || call->state != State::kRinging) return;
-  if (TooLate(*call)) {
+  if (HasCallerTimedOut(*call)) {
     if (line_driver_ != nullptr) line_driver_->StopRinging(id, ReleaseCause::kTimerExpiry);
     return OnRingReleased(id, ReleaseCause::kTimerExpiry);
   }
   call->session.assign(session.substr(0, settings_.max_session_octets));
   call->state = State::kEstablished;
-  GiveFinal(id, *call, {FinalKind::kEstablished, 0, ReleaseCause::kNormal});
+  SendFinalAnswer(id, *call, {FinalKind::kEstablished, 0, ReleaseCause::kNormal});
 }
 
 void CallCore::OnRingReleased(CallId id, ReleaseCause cause) {
@@ -447,12 +454,12 @@
   const ReleaseInfo info{cause, own_number()};
   if (call->state == State::kRinging) {
     call->last_release = info;
-    return GiveFinal(id, *call, {FinalKind::kFailed, 0, cause});
+    return SendFinalAnswer(id, *call, {FinalKind::kFailed, 0, cause});
   }
   if (call->state != State::kEstablished) return;
   ++counters_.ended;
   if (call->owner != nullptr) call->owner->OnCallEnded(id, cause);
-  Forget(id, info);
+  RemoveCall(id, info);
 }
 
 // ---- trunks ----
@@ -466,21 +473,21 @@
 void CallCore::OnTrunkAnswered(CallId id, int index) {
   Call* call = Find(id);
   if (call == nullptr || !call->attempt || call->attempt->index != index || call->state != State::kRouting) {
-    ++counters_.stale_answers;  // an answer that crossed a hang-up, or came after the time-out
+    ++counters_.stale_answers;  // the answer crossed a hang-up or arrived after the time-out
     return;
   }
-  NoteRefusal(call->out, {});
-  // This process stood still past the caller's time, and the answer lay in its queue: there is nobody to tell any more.
-  if (TooLate(*call))
+  RecordSeizureOutcome(call->out, {});
+  // The process stalled beyond the caller's time-out while the answer was queued: the caller is no longer waiting.
+  if (HasCallerTimedOut(*call))
     return EndAttempt(id, *call, Outcome::kTimeout, RejectCause::kNone, {ReleaseCause::kTimerExpiry}, false);
-  // Nobody would release what stands for a caller who left.
+  // The caller has left and would not release an established call.
   if (call->owner != nullptr && call->owner->HasLeft(id)) return HangUp(id);
   runtime_->CancelTimer(std::exchange(call->attempt->timeout, kNoTimer));
   call->state = State::kEstablished;
-  call->attempt->stood_at = runtime_->Now();
-  const CallEstablished stands{id, call->attempt->exchange, index, runtime_->Now() - call->attempt->sent_at};
-  GiveFinal(id, *call, {FinalKind::kEstablished, 0, ReleaseCause::kNormal});
-  PostEvent(stands);
+  call->attempt->established_at = runtime_->Now();
+  const CallEstablished established{id, call->attempt->exchange, index, runtime_->Now() - call->attempt->sent_at};
+  SendFinalAnswer(id, *call, {FinalKind::kEstablished, 0, ReleaseCause::kNormal});
+  PostEvent(established);
 }
 
 void CallCore::OnTrunkReleased(CallId id, int index, const ReleaseInfo& info) {
@@ -492,16 +499,16 @@
     EndAttempt(id, *call, normal ? Outcome::kOk : Outcome::kReset, RejectCause::kNone, info, true);
     if ((call = Find(id)) == nullptr) return;
     if (call->owner != nullptr) call->owner->OnCallEnded(id, info.cause);
-    return Forget(id, info);
+    return RemoveCall(id, info);
   }
-  NoteRefusal(call->out, info);
+  RecordSeizureOutcome(call->out, info);
   const int number = NumberOf(call->attempt->exchange);
-  const AttemptResult ended = Meaning(info, number, number == call->offer.destination);
-  EndAttempt(id, *call, ended.outcome, ended.cause, info, false);
+  const AttemptResult result = ResultOfRelease(info, number, number == call->request.destination);
+  EndAttempt(id, *call, result.outcome, result.cause, info, false);
 }
 
 void CallCore::OnIncomingReleased(CallId id, ReleaseCause) {
-  // The far end has let go of the circuits already; for the call it is the caller's hang-up.
+  // The far end has released its circuits already; for the call this is the caller's hang-up.
   HangUp(id);
 }
 
@@ -521,9 +528,10 @@
   const int number = NumberOf(attempt.exchange);
   call.last_release = info;
   const std::size_t circuits = call.out.circuits.size();
-  if (circuits > 0 || settings_.network_manages_circuits) ReleaseSet(&call.out, {ReleaseCause::kNormal, own_number()});
-  const AttemptRecord record{id,      attempt.index, number,          number != call.offer.destination,
-                             outcome, cause,         attempt.sent_at, attempt.stood_at,
+  if (circuits > 0 || settings_.network_manages_circuits)
+    ReleaseCircuits(&call.out, {ReleaseCause::kNormal, own_number()});
+  const AttemptRecord record{id,      attempt.index, number,          number != call.request.destination,
+                             outcome, cause,         attempt.sent_at, attempt.established_at,
                              now,     circuits};
   for (CallObserver* observer : observers_) observer->OnAttempt(record);
   if (log_->IsEnabled(LogLevel::kDebug))
@@ -539,12 +547,12 @@
   ended.wait_us = info.wait_us;
   ended.elapsed_us = now - attempt.sent_at;
   ended.terminal = terminal;
-  ended.report = Figures(number);
+  ended.report = GroupFigures(number);
   ended.report.insert(ended.report.end(), info.load.begin(), info.load.end());
   PostEvent(std::move(ended));
 }
 
-void CallCore::GiveFinal(CallId id, Call& call, const FinalAnswer& answer) {
+void CallCore::SendFinalAnswer(CallId id, Call& call, const FinalAnswer& answer) {
   if (call.answered) return;
   call.answered = true;
   call.answer = answer;
@@ -556,24 +564,24 @@
   if (log_->IsEnabled(LogLevel::kDebug)) {
     constexpr std::string_view kKinds[] = {"stands", "refused", "failed"};
     log_->Write(LogLevel::kDebug, "final", id,
-                std::string(kKinds[static_cast<std::size_t>(answer.kind)]) + UnderRules(call.offer));
+                std::string(kKinds[static_cast<std::size_t>(answer.kind)]) + RulesSuffix(call.request));
   }
   if (answer.kind == FinalKind::kEstablished) {
     for (CallObserver* observer : observers_) observer->OnEstablished(RecordOf(id, call));
     if (call.owner != nullptr) {
       FinalAnswer with_session = answer;
-      // Calls stand by the thousand: the descriptions go once they were passed on.
-      const std::string passed_on = std::exchange(call.session, {});
-      call.offer.session = {};
-      with_session.session = passed_on;
+      // Media descriptions are dropped once they are passed on, as there may be thousands of established calls.
+      const std::string session = std::exchange(call.session, {});
+      call.request.session = {};
+      with_session.session = session;
       call.owner->OnFinalAnswer(id, with_session);
     } else if (trunks_ != nullptr) {
       trunks_->Answer(call.in, call.session);
     }
     return;
   }
-  // Towards an exchange that sent the call here, a refusal is a release with its cause: no circuit onward, or
-  // what the next processor said.
+  // Towards the exchange that sent the call, a refusal is a release with a cause: no circuit towards the destination,
+  // or the cause given by the next exchange.
   ReleaseInfo info = call.last_release;
   if (info.cause == ReleaseCause::kNormal || info.cause == ReleaseCause::kTemporaryFailure ||
       info.cause == ReleaseCause::kGlare || info.cause == ReleaseCause::kNotInService) {
@@ -582,61 +590,61 @@
   }
   info.load.clear();
   if (CallOwner* owner = call.owner) owner->OnFinalAnswer(id, answer);
-  Forget(id, info);
+  RemoveCall(id, info);
 }
 
 CallRecord CallCore::RecordOf(CallId id, const Call& call) const {
   return {id,
-          &call.offer,
+          &call.request,
           call.owner == nullptr && call.origin != own_number(),
           call.origin,
           call.attempts,
           call.answer,
-          call.taken_at,
+          call.accepted_at,
           call.answered_at,
           runtime_->Now(),
           call.in.circuits.empty() ? -1 : call.in.group};
 }
 
-void CallCore::Forget(CallId id, const ReleaseInfo& info) {
+void CallCore::RemoveCall(CallId id, const ReleaseInfo& info) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   Call call = std::move(found->second);
   calls_.erase(found);
   runtime_->CancelTimer(call.deadline);
   const CallRecord record = RecordOf(id, call);
-  if (!call.in.circuits.empty()) ReleaseSet(&call.in, info);
+  if (!call.in.circuits.empty()) ReleaseCircuits(&call.in, info);
   for (CallObserver* observer : observers_) observer->OnCall(record);
 }
 
-void CallCore::ReleaseSet(CircuitSet* set, const ReleaseInfo& info) {
+void CallCore::ReleaseCircuits(CircuitSet* set, const ReleaseInfo& info) {
   const CircuitSet released = std::exchange(*set, CircuitSet{});
-  // A set without circuits is of a network that counts them itself: its group is none of this core's.
+  // A set without circuits belongs to a network that manages them itself: the group is not one of this core's.
   for (const CircuitNumber circuit : released.circuits) groups_.at(released.group).Release(circuit, released.call);
   if (trunks_ != nullptr) trunks_->Release(released, info);
 }
 
-void CallCore::NoteRefusal(const CircuitSet& set, const ReleaseInfo& info) {
+void CallCore::RecordSeizureOutcome(const CircuitSet& set, const ReleaseInfo& info) {
   const auto group = groups_.find(set.group);
   if (group == groups_.end()) return;
   const bool refused = info.cause == ReleaseCause::kGlare || info.cause == ReleaseCause::kNotInService;
   if (refused) ++counters_.refused_by_far_end;
-  // What the own gateway or processor says proves nothing of the far end.
+  // A cause given by this exchange's gateway or processor says nothing about the far end.
   if (!refused && info.exchange_number == own_number()) return;
   for (const CircuitNumber circuit : set.circuits)
-    refused ? group->second.Refused(circuit, info.cause == ReleaseCause::kNotInService)
+    refused ? group->second.RecordRefusal(circuit, info.cause == ReleaseCause::kNotInService)
             : group->second.ConfirmWorking(circuit);
 }
 
-void CallCore::RestIfSuspected(int number, const CircuitGroup& group, CircuitNumber circuit) {
+void CallCore::StartRestIfSuspected(int number, const CircuitGroup& group, CircuitNumber circuit) {
   if (group.State(circuit) != CircuitState::kSuspect) return;
   ++counters_.suspected;
   const std::uint32_t key = static_cast<std::uint32_t>(number) << 16U | circuit;
-  TimerId& timer = rests_[key];
+  TimerId& timer = rest_timers_[key];
   runtime_->CancelTimer(timer);
   timer = runtime_->StartTimer(group.RestTime(circuit), [this, number, circuit, key] {
-    rests_.erase(key);
-    if (groups_.at(number).EndRest(circuit)) TellSpare(number);
+    rest_timers_.erase(key);
+    if (groups_.at(number).EndRest(circuit)) ReportFreeCircuits(number);
   });
   if (trunks_ != nullptr) trunks_->CheckCircuit(number, circuit);
 }
@@ -644,38 +652,39 @@
 void CallCore::OnCircuitFree(int number, CircuitNumber circuit) {
   const auto group = groups_.find(number);
   if (group == groups_.end() || !group->second.Confirm(circuit)) return;
-  RestIfSuspected(number, group->second, circuit);
-  TellSpare(number);
+  StartRestIfSuspected(number, group->second, circuit);
+  ReportFreeCircuits(number);
 }
 
 void CallCore::OnCircuitOutOfService(int number, CircuitNumber circuit) {
   const auto group = groups_.find(number);
   if (group == groups_.end() || circuit >= group->second.size()) return;
   const CallId holder = group->second.TakeOutOfService(circuit);
-  TellSpare(number);
+  ReportFreeCircuits(number);
   Call* call = Find(holder);
   if (call == nullptr) return;
-  const ReleaseInfo cut{ReleaseCause::kTemporaryFailure, own_number()};
+  const ReleaseInfo disconnect{ReleaseCause::kTemporaryFailure, own_number()};
   if (call->attempt && call->out.group == number) {
-    OnTrunkReleased(holder, call->attempt->index, cut);
+    OnTrunkReleased(holder, call->attempt->index, disconnect);
   } else {
-    HangUp(holder);  // the incoming side is gone
+    HangUp(holder);  // the incoming circuit is lost
   }
 }
 
 void CallCore::OnCircuitInService(int number, CircuitNumber circuit) {
   const auto group = groups_.find(number);
   if (group == groups_.end() || !group->second.BringIntoService(circuit)) return;
-  RestIfSuspected(number, group->second, circuit);
-  TellSpare(number);
+  StartRestIfSuspected(number, group->second, circuit);
+  ReportFreeCircuits(number);
 }
 
 void CallCore::OnProbed(int number, bool answered, TimeUs elapsed_us, const LoadReport& load) {
-  if (const auto found = by_number_.find(number); found != by_number_.end() && !found->second.empty()) {
-    LoadReportReceived heard{found->second.front(), answered ? Outcome::kOk : Outcome::kTimeout,
-                             std::max<TimeUs>(elapsed_us, 1), Figures(number)};
-    heard.report.insert(heard.report.end(), load.begin(), load.end());
-    return PostEvent(std::move(heard));
+  if (const auto found = exchanges_by_number_.find(number);
+      found != exchanges_by_number_.end() && !found->second.empty()) {
+    LoadReportReceived received{found->second.front(), answered ? Outcome::kOk : Outcome::kTimeout,
+                                std::max<TimeUs>(elapsed_us, 1), GroupFigures(number)};
+    received.report.insert(received.report.end(), load.begin(), load.end());
+    return PostEvent(std::move(received));
   }
 }
 
@@ -697,35 +706,35 @@
     for (auto& [id, entry] : directory_) entry.status = ExchangeStatus::kGone;
   }
   for (const DirectoryEntry& entry : update.entries) directory_[entry.exchange] = entry;
-  if (directory_.size() > kMostDirectory) {
+  if (directory_.size() > kMaxDirectoryEntries) {
     std::erase_if(directory_, [](const auto& x) { return x.second.status == ExchangeStatus::kGone; });
   }
-  IndexDirectory();
+  IndexDirectoryByNumber();
   PostEvent(update);
   if (settings_.network_manages_circuits) return;
   for (const DirectoryEntry& entry : update.entries) {
     if (entry.status != ExchangeStatus::kGone)
-      PostEvent(LoadReportReceived{.exchange = entry.exchange, .report = Figures(entry.number)});
+      PostEvent(LoadReportReceived{.exchange = entry.exchange, .report = GroupFigures(entry.number)});
   }
 }
 
 std::vector<CallId> CallCore::SortedCalls() const {
   std::vector<CallId> ids;
   for (const auto& [id, call] : calls_) ids.push_back(id);
-  std::sort(ids.begin(), ids.end());  // the same order on every run
+  std::sort(ids.begin(), ids.end());  // for a reproducible order
   return ids;
 }
 
 void CallCore::SetShutdownDeadline(TimeUs at) {
-  finish_by_ = at;
+  shutdown_deadline_ = at;
   const TimeUs now = runtime_->Now();
-  finish_.Start(at > now ? at - now : 0, [this] {
+  shutdown_timer_.Start(at > now ? at - now : 0, [this] {
     StopAcceptingCalls();
     for (const CallId id : SortedCalls()) {
       const Call* const call = Find(id);
       if (call == nullptr || call->answered) continue;
       ++counters_.failed_at_end;
-      FailUnanswered(id);
+      FailUnansweredCall(id);
     }
   });
 }
@@ -736,10 +745,10 @@
     Call* call = Find(id);
     if (call == nullptr) continue;
     if (!call->answered) {
-      if (call->module_knows) PostEvent(CallAbandoned{id});
+      if (call->known_to_module) PostEvent(CallAbandoned{id});
       if ((call = Find(id)) == nullptr) continue;
       if (call->attempt) EndAttempt(id, *call, Outcome::kCancelled, RejectCause::kNone, {cause, own_number()}, true);
-      if ((call = Find(id)) != nullptr) GiveFinal(id, *call, {FinalKind::kFailed, 0, cause});
+      if ((call = Find(id)) != nullptr) SendFinalAnswer(id, *call, {FinalKind::kFailed, 0, cause});
       continue;
     }
     if (call->owner != nullptr) call->owner->OnCallEnded(id, cause);
--- a/src/core/disk.h
+++ b/src/core/disk.h
@@ -1,5 +1,5 @@
-// The seam between the product and the disk: what spools and snapshots are written through, so that the same code runs
-// on files (runtime/posix_disk.h) and on a disk that fails on demand (sim/memory_disk.h).
+// File system interface used for spools and snapshots, so that the same code runs on real files (runtime/posix_disk.h)
+// and on a simulated disk with fault injection (sim/memory_disk.h).
 #ifndef CROFTRUN_CORE_DISK_H_
 #define CROFTRUN_CORE_DISK_H_
 
@@ -16,25 +16,27 @@
 class File {
  public:
   virtual ~File() = default;
-  // All of it or an error; after an error a part may be there (Truncate takes it back).
+  // Appends all octets or returns an error. After an error, part of them may have been written; Truncate removes it.
   virtual std::error_code Append(std::string_view octets) = 0;
   virtual std::error_code Truncate(std::uint64_t size) = 0;
-  // After it, what was appended outlives a crash of the machine.
+  // Makes the octets appended so far durable: they survive a crash of the machine.
   virtual std::error_code Sync() = 0;
 };
 
+// Creates, reads, lists and replaces files. An empty error code means success.
 class Disk {
  public:
   virtual ~Disk() = default;
-  // With those above it; fine if it is there.
+  // Creates the folder and its parents; succeeds if it exists already.
   virtual std::error_code CreateFolder(const std::string& folder) = 0;
-  // Names of the files in it, in no order.
+  // Lists the names of the files in the folder, in no particular order.
   virtual std::error_code List(const std::string& folder, std::vector<std::string>* names) = 0;
-  // The whole file; an error if it is longer than `most`.
-  virtual std::error_code Read(const std::string& path, std::size_t most, std::string* octets) = 0;
-  // Made if it is not there. Null with an error.
+  // Reads the whole file; returns an error if it is longer than `max_octets`.
+  virtual std::error_code Read(const std::string& path, std::size_t max_octets, std::string* octets) = 0;
+  // Opens a file for appending and creates it if it does not exist. Returns null and sets `*error` on failure.
   virtual std::unique_ptr<File> Open(const std::string& path, std::error_code* error) = 0;
-  // The old content or the new, whatever happens: temporary file, sync, rename, sync of the folder.
+  // Replaces the content atomically: after a crash the file has either the old or the new content. Writes a temporary
+  // file, syncs it, renames it and syncs the folder.
   virtual std::error_code Replace(const std::string& path, std::string_view octets) = 0;
   virtual std::error_code Remove(const std::string& path) = 0;
 };
--- a/src/core/format.cpp
+++ b/src/core/format.cpp
@@ -6,18 +6,18 @@
 namespace croftrun::core {
 
 void Print(std::string* out, const char* format, ...) {
-  va_list values, again;
+  va_list values, values_copy;
   va_start(values, format);
-  va_copy(again, values);
+  va_copy(values_copy, values);
   const int length = std::vsnprintf(nullptr, 0, format, values);
   va_end(values);
   if (length > 0) {
-    const std::size_t had = out->size(), more = static_cast<std::size_t>(length);
-    out->resize(had + more + 1);
-    std::vsnprintf(out->data() + had, more + 1, format, again);
-    out->resize(had + more);
+    const std::size_t old_size = out->size(), added = static_cast<std::size_t>(length);
+    out->resize(old_size + added + 1);
+    std::vsnprintf(out->data() + old_size, added + 1, format, values_copy);
+    out->resize(old_size + added);
   }
-  va_end(again);
+  va_end(values_copy);
 }
 
 }  // namespace croftrun::core
--- a/src/core/format.h
+++ b/src/core/format.h
@@ -1,4 +1,4 @@
-// Text by a format of printf, appended to a string: for reports and pictures.
+// Formatted output to strings, for reports and charts.
 #ifndef CROFTRUN_CORE_FORMAT_H_
 #define CROFTRUN_CORE_FORMAT_H_
 
@@ -6,7 +6,7 @@
 
 namespace croftrun::core {
 
-// Whole, however long it gets.
+// Appends text in printf format to `*out`, whatever its length.
 void Print(std::string* out, const char* format, ...) __attribute__((format(printf, 2, 3)));
 
 }  // namespace croftrun::core
--- a/src/core/number_plan.h
+++ b/src/core/number_plan.h
@@ -1,4 +1,4 @@
-// The number plan: what a dialled number means. Longest prefix wins; simple on purpose, one immutable table.
+// The number plan: maps dialled numbers to destinations by longest matching prefix.
 #ifndef CROFTRUN_CORE_NUMBER_PLAN_H_
 #define CROFTRUN_CORE_NUMBER_PLAN_H_
 
@@ -13,19 +13,20 @@
 
 inline constexpr std::size_t kMostDigits = 32;
 
+// Destination and treatment of a dialled number.
 struct NumberMeaning {
   int destination = -1;  // number of an exchange
   int call_class = 0;    // index into the classes of the settings
   int customer = 0;
 };
 
-// A trie over digits in one flat array: a look-up reads at most kMostDigits nodes and allocates nothing.
+// A trie of digits in one flat array. A look-up reads at most kMostDigits nodes and allocates no memory.
 class NumberPlan {
  public:
   NumberPlan() : nodes_(1) {}
-  // False on characters other than digits, on more than kMostDigits, and on a prefix that is there already.
+  // Adds a prefix. Returns false if it contains anything but digits, is longer than kMostDigits or exists already.
   bool Add(std::string_view prefix, const NumberMeaning& meaning);
-  // The longest prefix of `digits` in the plan; nothing where none fits or a character is not a digit.
+  // Returns the entry of the longest matching prefix; empty if no prefix matches or a character is not a digit.
   std::optional<NumberMeaning> Find(std::string_view digits) const;
   std::size_t size() const { return meanings_.size(); }
 
@@ -38,7 +39,7 @@
   std::vector<NumberMeaning> meanings_;
 };
 
-// The number as the module wants it: equal for equal digits, 0 only for no digits.
+// Hash of a number as passed to the module: equal for equal digits, 0 only for an empty number.
 std::uint64_t NumberKey(std::string_view digits);
 
 }  // namespace croftrun::core
--- a/src/core/overload_control.cpp
+++ b/src/core/overload_control.cpp
@@ -5,29 +5,31 @@
 namespace croftrun::core {
 namespace {
 
-// The share refused grows by this for each span of overload, more the longer the wait is; it shrinks by a tenth for
-// each span without. Down slower than up: the queue that built up has to be worked off as well.
-constexpr double kStep = 0.05, kMostSteps = 3.0, kEase = 0.9;
-constexpr double kMost = 0.98;  // some calls always get in, so that the end of it is seen
-constexpr double kNone = 0.01;  // below, nothing is refused
+// For each window of overload the refused share grows by kShareStep times the ratio of the delay to its target, at most
+// by kMaxSteps steps; for each window without overload it shrinks by a tenth. It falls more slowly than it rises
+// because the queue that has built up must be processed as well.
+constexpr double kShareStep = 0.05, kMaxSteps = 3.0, kDecayFactor = 0.9;
+constexpr double kMaxShare = 0.98;  // some calls are always accepted, so that the end of the overload is detected
+constexpr double kMinShare = 0.01;  // below this, nothing is refused
 
 }  // namespace
 
-void OverloadGate::Note(TimeUs now, TimeUs backlog_us) {
-  if (now >= span_began_ + settings_.span_us) {
-    if (heard_) {
-      const double over = static_cast<double>(least_) / static_cast<double>(settings_.target_us);
-      share_ = over > 1.0 ? std::min(kMost, share_ + kStep * std::min(kMostSteps, over)) : share_ * kEase;
-      if (share_ < kNone) share_ = 0.0;
+void OverloadGate::RecordDelay(TimeUs now, TimeUs queue_delay_us) {
+  if (now >= window_start_ + settings_.window_us) {
+    if (has_sample_) {
+      const double ratio = static_cast<double>(min_delay_us_) / static_cast<double>(settings_.target_us);
+      share_ =
+          ratio > 1.0 ? std::min(kMaxShare, share_ + kShareStep * std::min(kMaxSteps, ratio)) : share_ * kDecayFactor;
+      if (share_ < kMinShare) share_ = 0.0;
     }
-    // A long silence is no overload: nothing came.
-    if (now >= span_began_ + 20 * settings_.span_us) share_ = 0.0;
-    span_began_ = now;
-    least_ = backlog_us;
-    heard_ = true;
+    // A long period without any work is not overload.
+    if (now >= window_start_ + 20 * settings_.window_us) share_ = 0.0;
+    window_start_ = now;
+    min_delay_us_ = queue_delay_us;
+    has_sample_ = true;
     return;
   }
-  least_ = std::min(least_, backlog_us);
+  min_delay_us_ = std::min(min_delay_us_, queue_delay_us);
 }
 
 }  // namespace croftrun::core
--- a/src/core/refusal_history.h
+++ b/src/core/refusal_history.h
@@ -1,16 +1,14 @@
-// What one end of a trunk group remembers of the circuits on which its own seizures were refused.
+// Refusal history of the circuits of a trunk group: which seizures of this end were refused by the far end.
 //
-// The far end may hold a circuit for out of service, or for busy, that this end knows as idle. Both ends
-// choose by a fixed order, so without a memory the very same circuit would be picked again for the next call
-// and refused again, for as long as the views differ. Decisions only: no I/O, no clock; all times are handed
-// in.
+// A circuit that is idle at this end may be out of service or busy at the far end. Circuits are chosen in a fixed
+// order, so without this history the same circuit would be chosen and refused for every call while the two ends
+// disagree. No I/O, no clock.
 //
-//   refusals in a row   the circuit
-//   1                   goes to the back of the choice: it is taken only when no other is idle
-//   2 and more, or one
-//   as out of service   is suspected: not taken, looked at, and back (at the back) after a pause that doubles
-//   each time
-// A set-up that the far end worked on, or a seizure by the far end, proves the circuit and ends its record.
+//   consecutive refusals       effect
+//   1                          deprioritized: seized only if no other circuit is idle
+//   2 or more, or one that     suspected: not seized, audited, and deprioritized again after a rest time that doubles
+//   says "out of service"      each time
+// A set-up that the far end worked on, or a seizure by the far end, clears the history of the circuit.
 #ifndef CROFTRUN_CORE_REFUSAL_HISTORY_H_
 #define CROFTRUN_CORE_REFUSAL_HISTORY_H_
 
@@ -21,36 +19,37 @@
 
 namespace croftrun::core {
 
+// Refusal records of all circuits of one group, indexed by circuit number.
 class RefusalHistory {
  public:
-  // Pauses of a suspected circuit: long enough for an audit or a release complete to settle the matter, and
-  // bounded so that a circuit whose far end came back unheard is tried again within seconds.
+  // Rest time of a suspected circuit: long enough for an audit or a release complete to clear the state, and bounded so
+  // that a circuit whose recovery was not reported is tried again within seconds.
   static constexpr TimeUs kInitialRest = 1'000'000;
   static constexpr TimeUs kMaxRest = 16'000'000;
 
   explicit RefusalHistory(std::size_t circuits) : records_(circuits) {}
 
-  // A seizure of ours on this circuit was refused. `out_of_service`: the far end said that it holds it for
-  // that, so it need not say so twice.
-  void Refused(std::size_t circuit, bool out_of_service = false) {
+  // Records a refused seizure. `out_of_service`: the far end stated that the circuit is out of service, so a single
+  // refusal is enough to suspect it.
+  void RecordRefusal(std::size_t circuit, bool out_of_service = false) {
     std::uint8_t& record = records_[circuit];
-    if (record < kMostCounted) ++record;
+    if (record < kMaxCounted) ++record;
     if (out_of_service && record < 2) record = 2;
   }
-  bool Suspected(std::size_t circuit) const { return records_[circuit] >= 2; }
-  // How long a suspected circuit rests before it may be taken again.
+  bool IsSuspected(std::size_t circuit) const { return records_[circuit] >= 2; }
+  // How long a suspected circuit is not seized; 0 if it is not suspected.
   TimeUs RestTime(std::size_t circuit) const {
-    const TimeUs pause = Suspected(circuit) ? kInitialRest << (records_[circuit] - 2U) : 0;
-    return pause < kMaxRest ? pause : kMaxRest;
+    const TimeUs rest = IsSuspected(circuit) ? kInitialRest << (records_[circuit] - 2U) : 0;
+    return rest < kMaxRest ? rest : kMaxRest;
   }
-  // The far end took part in its use.
+  // The far end took part in the use of the circuit: clears its history.
   void ConfirmWorking(std::size_t circuit) { records_[circuit] = 0; }
-  // Refusals since it was last proven, counted up to a bound.
-  unsigned InARow(std::size_t circuit) const { return records_[circuit]; }
+  // Refusals since the circuit was last confirmed working, counted up to a bound.
+  unsigned ConsecutiveRefusals(std::size_t circuit) const { return records_[circuit]; }
   bool IsDeprioritized(std::size_t circuit) const { return records_[circuit] > 0; }
 
  private:
-  static constexpr std::uint8_t kMostCounted = 16;
+  static constexpr std::uint8_t kMaxCounted = 16;
   std::vector<std::uint8_t> records_;
 };
 
--- a/src/core/roster.cpp
+++ b/src/core/roster.cpp
@@ -5,22 +5,22 @@
 namespace croftrun::core {
 
 RosterView::UpdateResult RosterView::Apply(TimeUs now, const RosterUpdate& update, DirectoryUpdate* directory) {
-  // Old: doubled or overtaken on the way. Applying it would bring back what is gone.
+  // Stale: duplicated or reordered in the network. Applying it would restore entries that have been removed.
   if (update.version <= version_) return UpdateResult::kStale;
   if (update.base && *update.base != version_) return UpdateResult::kGap;
-  if (update.entries.size() > kMostEntries) return UpdateResult::kTooManyEntries;
+  if (update.entries.size() > kMaxEntries) return UpdateResult::kTooManyEntries;
   directory->kind = update.base ? DirectoryKind::kDelta : DirectoryKind::kFull;
   directory->version = static_cast<std::uint32_t>(update.version);
   directory->entries.clear();
   for (const RosterEntry& entry : update.entries) {
     const auto found = known_.find(entry.exchange);
-    const bool fresh = found == known_.end() || entry.incarnation > found->second.incarnation;
-    // An incarnation older than one seen is odd, but versions say which word is the last, and a drain must be kept
-    // whoever erred: its state is believed, its start is not.
-    if (fresh) {
+    const bool new_incarnation = found == known_.end() || entry.incarnation > found->second.incarnation;
+    // An older incarnation than the one known is inconsistent. The update is still the latest by its version, and a
+    // drain must be respected in any case, so its status is applied but its start time is not.
+    if (new_incarnation) {
       Known known{entry.incarnation, 0};
-      // Started before this clock began: long ago (0), not at its first moment, or an edge that is young itself would
-      // take every exchange that was ever replaced for a cold one.
+      // A start before the origin of this clock is reported as long ago (0). Clamping it to the origin would make a
+      // recently started edge treat every exchange that was ever replaced as warming up.
       if (entry.incarnation > 0) known.since_us = now > entry.age_us ? now - entry.age_us : 0;
       known_[entry.exchange] = known;
     }
@@ -31,8 +31,8 @@
                                   .since_us = known_[entry.exchange].since_us});
   }
   version_ = update.version;
-  // What a full list no longer names is forgotten once there is too much of it.
-  if (!update.base && known_.size() > kMostEntries) {
+  // Entries that a full list no longer contains are removed once there are too many.
+  if (!update.base && known_.size() > kMaxEntries) {
     std::erase_if(known_, [&](const auto& known) {
       return std::none_of(update.entries.begin(), update.entries.end(),
                           [&](const RosterEntry& entry) { return entry.exchange == known.first; });
--- a/src/core/runtime.h
+++ b/src/core/runtime.h
@@ -1,8 +1,8 @@
-// The one seam between the product and the machine: clock, timers, datagrams, streams and randomness.
+// Interface to the operating system: clock, timers, datagrams, streams and random numbers.
 //
-// Everything but the programs' own start-up runs on a Runtime and on nothing else of the operating system, so the
-// same code runs on sockets (runtime/asio_runtime.h) and on virtual time. All calls to and from a Runtime happen on
-// one thread. Times are microseconds of a clock that only advances.
+// Except for program start-up, all code uses the operating system through a Runtime only, so that the same code runs on
+// sockets (runtime/asio_runtime.h) and on virtual time (sim/virtual_runtime.h). All calls to and from a Runtime happen
+// on one thread. Times are microseconds of a monotonic clock.
 #ifndef CROFTRUN_CORE_RUNTIME_H_
 #define CROFTRUN_CORE_RUNTIME_H_
 
@@ -16,24 +16,24 @@
 
 namespace croftrun::core {
 
-// An IPv4 address and port, in host order.
+// An IPv4 address and port in host byte order.
 struct Address {
   std::uint32_t host = 0;
   std::uint16_t port = 0;
   friend auto operator<=>(const Address&, const Address&) = default;
 };
 
-// Receives what arrives at a port. Owned by whoever opened the port, and outlives it.
+// Receives the datagrams of a port. Owned by the caller of OpenPort; must outlive the port.
 class DatagramHandler {
  public:
   virtual ~DatagramHandler() = default;
   virtual void OnDatagram(const Address& from, std::string_view bytes) = 0;
-  // Asked as a datagram is read off the socket, before it takes room or time in any queue. False: it is dropped there.
+  // Called when a datagram is read from the socket, before it is queued. Returns false to drop it there.
   virtual bool ShouldReceive(const Address&, std::string_view) { return true; }
 };
 
-// A bound datagram port; closed when destroyed. Sending never blocks and never fails to the caller: what the
-// network cannot take is lost, as the network may lose anything (counted by the implementation).
+// A bound datagram port; closed when destroyed. Sending never blocks and never reports an error: a datagram that cannot
+// be sent is lost, as in the network, and counted by the implementation.
 class DatagramPort {
  public:
   virtual ~DatagramPort() = default;
@@ -41,61 +41,63 @@
   virtual Address Local() const = 0;
 };
 
-// How a stream came to its end, as far as this side can tell.
+// How a stream ended, as seen from this side.
 enum class StreamEnd : std::uint8_t {
-  kClosed,    // the far end closed it in order
-  kReset,     // it was open and broke: what was written last may or may not have been read
-  kRefused,   // never open: nothing listens there, nothing was read
-  kTimedOut,  // never open within the time given
+  kClosed,    // the far end closed it in an orderly way
+  kReset,     // the open connection was lost: data written last may or may not have been received
+  kRefused,   // the connection was refused: nothing listens there, no data was received
+  kTimedOut,  // the connection was not established within the time-out
 };
 
-// Receives what becomes of a stream. Owned by whoever owns the stream, and outlives it. It may destroy the stream from
-// within any of these calls; nothing is called after that.
+// Receives the events of a stream. Belongs to the owner of the stream and must outlive it. It may destroy the stream
+// from within any of these calls; no further calls are made after that.
 class StreamHandler {
  public:
   virtual ~StreamHandler() = default;
-  // A stream of Runtime::Connect is open. Not called for an accepted one, which is open from the start.
+  // A stream created by Runtime::Connect is open. Not called for accepted streams, which are open from the start.
   virtual void OnOpen() {}
-  // Some octets, in order; at most kMaxStreamRead at once, then others get their turn.
+  // Received octets, in order; at most kMaxStreamRead per call, so that other connections get their turn.
   virtual void OnBytes(std::string_view bytes) = 0;
-  // Once, and nothing after it. Not called when this side destroys the stream.
+  // Called once, as the last call. Not called when this side destroys the stream.
   virtual void OnEnd(StreamEnd end) = 0;
 };
 
 inline constexpr std::size_t kMaxStreamRead = 16 << 10;
 
-// One connection; closed in order when destroyed: what was written still goes out, and what the far end sends meanwhile
-// is read and dropped for a short while, as octets left unread would make a reset of the close and take the last answer
-// along. Bounded in time, in octets and in number: see the implementation.
+// A connection; closed in an orderly way when destroyed. Data already written is still sent, and incoming data is read
+// and discarded for a short time: unread octets would turn the close into a reset, and the far end could lose the last
+// answer. This lingering is bounded in time, octets and number of connections; see the implementation.
 class Stream {
  public:
   virtual ~Stream() = default;
-  // Never blocks. What the network does not take now waits in this process: see PendingWriteOctets. Before OnOpen it
-  // waits too.
+  // Never blocks. Data that the socket does not accept yet, or that is written before OnOpen, is kept in the write
+  // buffer; see PendingWriteOctets.
   virtual void Write(std::string_view bytes) = 0;
-  // Octets that wait to be written. The owner bounds them, by destroying a stream whose far end does not read.
+  // Octets in the write buffer. The owner must bound them, by destroying a stream whose far end does not read.
   virtual std::size_t PendingWriteOctets() const = 0;
-  // Octets have arrived that were not told yet: to close it now would lose them.
+  // Returns whether octets have arrived that were not passed to OnBytes yet; closing the stream now would lose them.
   virtual bool HasUnreadInput() const = 0;
-  // The far end has closed or reset it; its OnEnd is still to come, behind whatever is unread.
+  // Returns whether the far end has closed or reset the connection. OnEnd follows after the unread octets.
   virtual bool PeerClosed() const = 0;
-  // Reading stops and goes on: what arrives meanwhile stays with the network.
+  // Stops or resumes reading. While paused, incoming data stays in the socket and the far end sees back-pressure.
   virtual void PauseReading(bool pause) = 0;
   virtual Address Remote() const = 0;
 };
 
+// Accepts the connections of a listener.
 class StreamAcceptor {
  public:
   virtual ~StreamAcceptor() = default;
-  // Returns the sink of the new stream, which the acceptor owns from now on; null: it is closed at once.
+  // Returns the handler of the new stream, which the acceptor now owns; null closes it at once.
   virtual StreamHandler* OnAccept(std::unique_ptr<Stream> stream) = 0;
-  // Asked before one that waits is accepted. False: it stays with the network, and is asked for again soon.
+  // Called before a pending connection is accepted. If false, it stays in the listen queue and is tried again shortly.
   virtual bool CanAccept() { return true; }
-  // No descriptor was left for one that waits; it is tried again soon. A stream may be given up for it.
+  // A pending connection could not be accepted because the descriptor limit is reached; it is tried again shortly. The
+  // acceptor may close another stream to make room.
   virtual void OnDescriptorsExhausted() {}
 };
 
-// Accepts while it lives.
+// Accepts connections until it is destroyed.
 class StreamListener {
  public:
   virtual ~StreamListener() = default;
@@ -105,28 +107,31 @@
 using TimerId = std::uint64_t;
 inline constexpr TimerId kNoTimer = 0;
 
+// The services of the operating system.
 class Runtime {
  public:
   virtual ~Runtime() = default;
+  // Current time of the monotonic clock.
   virtual TimeUs Now() const = 0;
-  // Unix time in microseconds, for the calendar only: it may step either way at any time.
+  // Unix time in microseconds, for dates only: the wall clock may be stepped in either direction at any time.
   virtual std::int64_t WallClockUs() const = 0;
-  // Calls `due` once, not before `delay` microseconds from now and never from within this call.
+  // Calls `due` once, at least `delay` microseconds from now and never from within this call.
   virtual TimerId StartTimer(TimeUs delay, std::function<void()> due) = 0;
-  // Harmless for a timer that is over; after it, `due` is not called.
+  // Cancels a timer; has no effect if it has expired or was cancelled already.
   virtual void CancelTimer(TimerId timer) = 0;
-  // Throws std::system_error where the address cannot be bound.
-  virtual std::unique_ptr<DatagramPort> OpenPort(const Address& local, DatagramHandler* sink) = 0;
-  // Opens a stream to `to`; what becomes of it is told to `sink`, never from within this call. A runtime that carries
-  // no streams throws std::system_error from both, as the second does where the address cannot be bound.
-  virtual std::unique_ptr<Stream> Connect(const Address& to, TimeUs timeout, StreamHandler* sink);
+  // Throws std::system_error if the address cannot be bound.
+  virtual std::unique_ptr<DatagramPort> OpenPort(const Address& local, DatagramHandler* handler) = 0;
+  // Opens a stream to `to`. Its events are passed to `handler`, never from within this call. The base implementations
+  // of Connect and Listen throw std::system_error, for runtimes without streams.
+  virtual std::unique_ptr<Stream> Connect(const Address& to, TimeUs timeout, StreamHandler* handler);
+  // Throws std::system_error if the address cannot be bound.
   virtual std::unique_ptr<StreamListener> Listen(const Address& local, StreamAcceptor* acceptor);
   virtual std::uint64_t Random() = 0;
-  // How long what is being worked on now has waited since it reached this process: the measure of own overload.
+  // How long the work being processed now has waited since it reached this process; the measure for overload control.
   virtual TimeUs QueueDelay() const { return 0; }
 };
 
-// A timer that its owner holds: cancelled when replaced or destroyed.
+// A timer owned by an object: cancelled when restarted or destroyed.
 class Timer {
  public:
   explicit Timer(Runtime* runtime) : runtime_(runtime) {}
@@ -151,7 +156,7 @@
   TimerId id_ = kNoTimer;
 };
 
-// "127.0.0.1:2427"; false on anything else, with `*address` unchanged.
+// Parses an address such as "127.0.0.1:2427". Returns false and leaves `*address` unchanged on anything else.
 bool ParseAddress(std::string_view text, Address* address);
 std::string ToString(const Address& address);
 
--- a/src/runtime/asio_runtime.cpp
+++ b/src/runtime/asio_runtime.cpp
@@ -26,90 +26,95 @@
 
 namespace {
 
-// Receive buffer asked of the kernel. It may grant far less, so the socket is emptied into the process's own queue
-// after every few datagrams that were worked on.
-constexpr int kSocketBuffer = 4 << 20;
-// The clock's first reading. Not 0, which several interfaces read as "never"; and so long before the process began that
-// the start of another exchange, which is told as an age, has a time of its own on this clock.
-constexpr TimeUs kClockBegins = 24ULL * 3'600'000'000;
-constexpr std::size_t kSystemBatch = 32;       // datagrams of one system call
-constexpr std::size_t kWorkBatch = 64;         // worked on before the socket is emptied again and timers get their turn
-constexpr std::size_t kLargest = 4096;         // octets of a datagram that is not cut (RFC 3435 3.5.4 asks for 4,000)
-constexpr std::size_t kMostQueued = 32 << 20;  // octets waiting in the process; what comes beyond is dropped, counted
+// Socket buffer size requested from the kernel. The kernel may grant far less, so the socket is drained into a queue of
+// the process each time a few datagrams have been processed.
+constexpr int kSocketBufferSize = 4 << 20;
+// Time of the clock when the process starts. It is not 0, which several interfaces use for "never", and it is large
+// enough that the start of another exchange, which is stated as an age, usually lies after the origin of this clock.
+constexpr TimeUs kClockStart = 24ULL * 3'600'000'000;
+constexpr std::size_t kMaxSyscallBatch = 32;  // datagrams per system call
+constexpr std::size_t kMaxWorkBatch = 64;     // datagrams processed before the socket is drained again and timers run
+// Octets; longer datagrams are truncated (RFC 3435 3.5.4 requires 4,000).
+constexpr std::size_t kMaxDatagramSize = 4096;
+// Octets in the receive queue; datagrams beyond that are dropped and counted.
+constexpr std::size_t kMaxQueuedOctets = 32 << 20;
 
 }  // namespace
 
 struct PortState;
 
-// What happens between two waits of the event loop: what is sent meanwhile leaves together at its end.
-struct Turn {
-  explicit Turn(std::function<TimeUs()> n) : now(std::move(n)) {}
+// State of one iteration of the event loop. Datagrams sent during an iteration are collected and sent together at its
+// end.
+struct LoopIteration {
+  explicit LoopIteration(std::function<TimeUs()> clock) : now(std::move(clock)) {}
   std::function<TimeUs()> now;
-  TimeUs present = 0;  // the time for what is worked on now; 0: read the clock
-  TimeUs backlog = 0;
+  TimeUs cached_now = 0;  // cached time for the work in progress; 0: read the clock
+  TimeUs queue_delay = 0;
   PortCounters counters;
-  std::vector<PortState*> with_output;
-  void End();
+  std::vector<PortState*> ports_with_output;
+  void FlushPorts();
 };
 
-// The socket outlives the port for as long as the receiving coroutine needs to notice that it was closed.
+// Shared between a port and its receiving coroutine. The socket outlives the port until the coroutine has noticed that
+// it was closed.
 struct PortState {
   PortState(asio::io_context& context, const core::Address& local, core::DatagramHandler* s)
-      : socket(context), sink(s) {
+      : socket(context), handler(s) {
     const udp::endpoint endpoint = EndpointOf<udp>(local);
     socket.open(endpoint.protocol());
     socket.bind(endpoint);
     socket.non_blocking(true);
-    boost::system::error_code ignored;  // the kernel may grant less; that is no error
-    socket.set_option(asio::socket_base::receive_buffer_size(kSocketBuffer), ignored);
-    socket.set_option(asio::socket_base::send_buffer_size(kSocketBuffer), ignored);
-    buffers.resize(kSystemBatch * kLargest);
+    boost::system::error_code ignored;  // the kernel may grant less, which is not an error
+    socket.set_option(asio::socket_base::receive_buffer_size(kSocketBufferSize), ignored);
+    socket.set_option(asio::socket_base::send_buffer_size(kSocketBufferSize), ignored);
+    buffers.resize(kMaxSyscallBatch * kMaxDatagramSize);
   }
 
-  // Moves what the socket holds into the queue.
-  void Empty(Turn& turn) {
-    std::array<iovec, kSystemBatch> parts{};
-    std::array<mmsghdr, kSystemBatch> headers{};
-    std::array<sockaddr_in, kSystemBatch> from{};
+  // Moves all datagrams from the socket to the queue.
+  void DrainSocket(LoopIteration& iteration) {
+    std::array<iovec, kMaxSyscallBatch> parts{};
+    std::array<mmsghdr, kMaxSyscallBatch> headers{};
+    std::array<sockaddr_in, kMaxSyscallBatch> from{};
     while (true) {
-      for (std::size_t i = 0; i < kSystemBatch; ++i) {
-        parts[i] = {buffers.data() + i * kLargest, kLargest};
+      for (std::size_t i = 0; i < kMaxSyscallBatch; ++i) {
+        parts[i] = {buffers.data() + i * kMaxDatagramSize, kMaxDatagramSize};
         headers[i].msg_hdr = {};
         headers[i].msg_hdr.msg_name = &from[i];
         headers[i].msg_hdr.msg_namelen = sizeof(from[i]);
         headers[i].msg_hdr.msg_iov = &parts[i];
         headers[i].msg_hdr.msg_iovlen = 1;
       }
-      const int count = ::recvmmsg(socket.native_handle(), headers.data(), kSystemBatch, MSG_DONTWAIT, nullptr);
-      if (count <= 0) return;  // empty, or the word of an earlier send that nobody heard
-      const TimeUs now = turn.now();
+      const int count = ::recvmmsg(socket.native_handle(), headers.data(), kMaxSyscallBatch, MSG_DONTWAIT, nullptr);
+      if (count <= 0) return;  // no datagram, or a pending error of an earlier send
+      const TimeUs now = iteration.now();
       for (std::size_t i = 0; i < static_cast<std::size_t>(count); ++i) {
-        ++turn.counters.received;
+        ++iteration.counters.received;
         const core::Address sender{ntohl(from[i].sin_addr.s_addr), ntohs(from[i].sin_port)};
-        if (sink == nullptr || !sink->ShouldReceive(sender, {buffers.data() + i * kLargest, headers[i].msg_len}))
+        if (handler == nullptr ||
+            !handler->ShouldReceive(sender, {buffers.data() + i * kMaxDatagramSize, headers[i].msg_len}))
           continue;
-        if (queued + headers[i].msg_len > kMostQueued) {
-          ++turn.counters.dropped;
+        if (queued_octets + headers[i].msg_len > kMaxQueuedOctets) {
+          ++iteration.counters.dropped;
           continue;
         }
-        queued += headers[i].msg_len;
-        queue.push_back({now, sender, std::string(buffers.data() + i * kLargest, headers[i].msg_len)});
+        queued_octets += headers[i].msg_len;
+        queue.push_back({now, sender, std::string(buffers.data() + i * kMaxDatagramSize, headers[i].msg_len)});
       }
-      if (static_cast<std::size_t>(count) < kSystemBatch) return;
+      if (static_cast<std::size_t>(count) < kMaxSyscallBatch) return;
     }
   }
 
-  void Send(Turn& turn, const core::Address& to, std::string_view bytes) {
-    if (output.empty()) turn.with_output.push_back(this);
+  void Send(LoopIteration& iteration, const core::Address& to, std::string_view bytes) {
+    if (output.empty()) iteration.ports_with_output.push_back(this);
     output.emplace_back(to, bytes);
-    if (output.size() >= kSystemBatch) Flush(turn);
+    if (output.size() >= kMaxSyscallBatch) Flush(iteration);
   }
 
-  void Flush(Turn& turn) {
-    std::array<iovec, kSystemBatch> parts{};
-    std::array<mmsghdr, kSystemBatch> headers{};
-    std::array<sockaddr_in, kSystemBatch> to{};
-    const std::size_t count = std::min(kSystemBatch, output.size());
+  void Flush(LoopIteration& iteration) {
+    std::array<iovec, kMaxSyscallBatch> parts{};
+    std::array<mmsghdr, kMaxSyscallBatch> headers{};
+    std::array<sockaddr_in, kMaxSyscallBatch> to{};
+    const std::size_t count = std::min(kMaxSyscallBatch, output.size());
     for (std::size_t i = 0; i < count; ++i) {
       to[i].sin_family = AF_INET;
       to[i].sin_addr.s_addr = htonl(output[i].first.host);
@@ -123,113 +128,113 @@
     for (std::size_t sent = 0; sent < count;) {
       const int done =
           ::sendmmsg(socket.native_handle(), headers.data() + sent, static_cast<unsigned>(count - sent), MSG_DONTWAIT);
-      // One that cannot go is lost, as the network may lose it; those behind it may be fine.
+      // A datagram that cannot be sent is dropped, as the network might drop it; the following ones are still tried.
       const std::size_t step = done > 0 ? static_cast<std::size_t>(done) : 1;
-      turn.counters.sent += done > 0 ? step : 0;
-      turn.counters.lost += done > 0 ? 0 : 1;
+      iteration.counters.sent += done > 0 ? step : 0;
+      iteration.counters.lost += done > 0 ? 0 : 1;
       sent += step;
     }
     output.clear();
   }
 
-  struct Waiting {
-    TimeUs at = 0;
+  struct QueuedDatagram {
+    TimeUs received_at = 0;
     core::Address from;
     std::string bytes;
   };
   udp::socket socket;
-  core::DatagramHandler* sink;  // null once the port is gone
+  core::DatagramHandler* handler;  // null once the port has been destroyed
   std::vector<char> buffers;
-  std::deque<Waiting> queue;
-  std::size_t queued = 0;  // octets in it
+  std::deque<QueuedDatagram> queue;
+  std::size_t queued_octets = 0;  // octets in `queue`
   std::vector<std::pair<core::Address, std::string>> output;
 };
 
-void Turn::End() {
-  for (PortState* port : std::exchange(with_output, {})) port->Flush(*this);
+void LoopIteration::FlushPorts() {
+  for (PortState* port : std::exchange(ports_with_output, {})) port->Flush(*this);
 }
 
 namespace {
 
-asio::awaitable<void> Receive(std::shared_ptr<PortState> state, std::shared_ptr<Turn> turn) {
+asio::awaitable<void> Receive(std::shared_ptr<PortState> state, std::shared_ptr<LoopIteration> iteration) {
   boost::system::error_code error;
   const auto executor = co_await asio::this_coro::executor;
-  while (state->sink != nullptr) {
+  while (state->handler != nullptr) {
     if (state->queue.empty()) {
       co_await state->socket.async_wait(udp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
       if (error == asio::error::operation_aborted) co_return;
     } else {
-      // There is more to do: timers and other ports get their turn first.
+      // More datagrams are queued: yield to timers and other ports first.
       co_await asio::post(executor, asio::use_awaitable);
     }
-    if (state->sink == nullptr) co_return;
-    state->Empty(*turn);
-    for (std::size_t i = 0; i < kWorkBatch && !state->queue.empty() && state->sink != nullptr; ++i) {
-      const PortState::Waiting item = std::move(state->queue.front());
+    if (state->handler == nullptr) co_return;
+    state->DrainSocket(*iteration);
+    for (std::size_t i = 0; i < kMaxWorkBatch && !state->queue.empty() && state->handler != nullptr; ++i) {
+      const PortState::QueuedDatagram item = std::move(state->queue.front());
       state->queue.pop_front();
-      state->queued -= item.bytes.size();
-      // The clock is read once for each datagram, not for each of the dozen timers that it moves.
-      turn->present = 0;
-      turn->present = turn->now();
-      turn->backlog = turn->present - item.at;
-      state->sink->OnDatagram(item.from, item.bytes);
+      state->queued_octets -= item.bytes.size();
+      // The clock is read once per datagram, not for each of the dozen timers that it starts.
+      iteration->cached_now = 0;
+      iteration->cached_now = iteration->now();
+      iteration->queue_delay = iteration->cached_now - item.received_at;
+      state->handler->OnDatagram(item.from, item.bytes);
     }
-    turn->present = 0;
-    if (state->queue.empty()) turn->backlog = 0;
-    turn->End();
+    iteration->cached_now = 0;
+    if (state->queue.empty()) iteration->queue_delay = 0;
+    iteration->FlushPorts();
   }
 }
 
 class AsioPort final : public core::DatagramPort {
  public:
-  AsioPort(asio::io_context& context, const core::Address& local, core::DatagramHandler* sink,
-           std::shared_ptr<Turn> turn)
-      : state_(std::make_shared<PortState>(context, local, sink)), turn_(std::move(turn)) {
-    // Owned by this port: it ends when the socket closes, and holds nothing but the state it shares with the port.
-    asio::co_spawn(context, Receive(state_, turn_), asio::detached);
+  AsioPort(asio::io_context& context, const core::Address& local, core::DatagramHandler* handler,
+           std::shared_ptr<LoopIteration> iteration)
+      : state_(std::make_shared<PortState>(context, local, handler)), iteration_(std::move(iteration)) {
+    // The coroutine ends when the socket is closed and refers only to the state it shares with the port.
+    asio::co_spawn(context, Receive(state_, iteration_), asio::detached);
   }
   ~AsioPort() override {
-    if (!state_->output.empty()) state_->Flush(*turn_);
-    std::erase(turn_->with_output, state_.get());
-    state_->sink = nullptr;
+    if (!state_->output.empty()) state_->Flush(*iteration_);
+    std::erase(iteration_->ports_with_output, state_.get());
+    state_->handler = nullptr;
     boost::system::error_code ignored;
     state_->socket.close(ignored);
   }
-  void Send(const core::Address& to, std::string_view bytes) override { state_->Send(*turn_, to, bytes); }
+  void Send(const core::Address& to, std::string_view bytes) override { state_->Send(*iteration_, to, bytes); }
   core::Address Local() const override { return AddressOf(state_->socket.local_endpoint()); }
 
  private:
   std::shared_ptr<PortState> state_;
-  std::shared_ptr<Turn> turn_;
+  std::shared_ptr<LoopIteration> iteration_;
 };
 
 }  // namespace
 
-// The one timer of the operating system behind all timers of the program.
-struct AsioRuntime::Waiting {
-  explicit Waiting(AsioRuntime* o) : timer(o->context_), owner(o) {}
+// The single system timer that drives all timers of the program.
+struct AsioRuntime::TimerLoop {
+  explicit TimerLoop(AsioRuntime* o) : timer(o->context_), owner(o) {}
   asio::steady_timer timer;
-  AsioRuntime* owner;  // null once the runtime is gone
+  AsioRuntime* owner;  // null once the runtime has been destroyed
   TimeUs armed_for = 0;
 
-  static asio::awaitable<void> Loop(std::shared_ptr<Waiting> self) {
+  static asio::awaitable<void> Loop(std::shared_ptr<TimerLoop> self) {
     boost::system::error_code error;
     while (self->owner != nullptr) {
       AsioRuntime& owner = *self->owner;
       const TimeUs now = owner.Now();
-      // What falls due while these run waits for the next turn: sockets are not starved by timers.
+      // Timers that expire while these run wait for the next iteration, so that sockets are not starved.
       while (self->owner != nullptr && !owner.timers_.empty() && owner.timers_.begin()->first.first <= now) {
         auto node = owner.timers_.extract(owner.timers_.begin());
-        owner.due_at_.erase(node.key().second);
+        owner.expiry_times_.erase(node.key().second);
         node.mapped()();
       }
       if (self->owner == nullptr) co_return;
-      owner.turn_->End();
+      owner.iteration_->FlushPorts();
       self->armed_for = owner.timers_.empty() ? ~TimeUs{0} : owner.timers_.begin()->first.first;
       if (owner.timers_.empty()) {
         self->timer.expires_at(std::chrono::steady_clock::time_point::max());
       } else {
-        self->timer.expires_at(owner.start_ + std::chrono::microseconds(self->armed_for - kClockBegins));
+        self->timer.expires_at(owner.start_ + std::chrono::microseconds(self->armed_for - kClockStart));
       }
       co_await self->timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
@@ -237,16 +242,17 @@
 };
 
 AsioRuntime::AsioRuntime()
-    : waiting_(std::make_shared<Waiting>(this)), turn_(std::make_shared<Turn>([this] { return Now(); })) {
-  // Owned by this runtime, through its context.
-  asio::co_spawn(context_, Waiting::Loop(waiting_), asio::detached);
+    : timer_loop_(std::make_shared<TimerLoop>(this)),
+      iteration_(std::make_shared<LoopIteration>([this] { return Now(); })) {
+  // The coroutine belongs to this runtime through its context.
+  asio::co_spawn(context_, TimerLoop::Loop(timer_loop_), asio::detached);
 }
 
-AsioRuntime::~AsioRuntime() { waiting_->owner = nullptr; }
+AsioRuntime::~AsioRuntime() { timer_loop_->owner = nullptr; }
 
 TimeUs AsioRuntime::Now() const {
-  if (turn_->present != 0) return turn_->present;
-  return kClockBegins +
+  if (iteration_->cached_now != 0) return iteration_->cached_now;
+  return kClockStart +
          static_cast<TimeUs>(
              std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() - start_).count());
 }
@@ -260,36 +266,36 @@
   const TimeUs at = Now() + delay;
   const core::TimerId id = next_timer_++;
   timers_.emplace(std::make_pair(at, id), std::move(due));
-  due_at_.emplace(id, at);
-  if (at < waiting_->armed_for) Rearm();
+  expiry_times_.emplace(id, at);
+  if (at < timer_loop_->armed_for) Rearm();
   return id;
 }
 
 void AsioRuntime::CancelTimer(core::TimerId timer) {
-  const auto found = due_at_.find(timer);
-  if (found == due_at_.end()) return;
+  const auto found = expiry_times_.find(timer);
+  if (found == expiry_times_.end()) return;
   timers_.erase({found->second, timer});
-  due_at_.erase(found);
+  expiry_times_.erase(found);
 }
 
 void AsioRuntime::Rearm() {
-  waiting_->armed_for = timers_.begin()->first.first;
-  waiting_->timer.cancel();  // the loop wakes and arms itself for the first one
+  timer_loop_->armed_for = timers_.begin()->first.first;
+  timer_loop_->timer.cancel();  // the loop wakes up and waits for the first timer
 }
 
-std::unique_ptr<core::DatagramPort> AsioRuntime::OpenPort(const core::Address& local, core::DatagramHandler* sink) {
-  return std::make_unique<AsioPort>(context_, local, sink, turn_);
+std::unique_ptr<core::DatagramPort> AsioRuntime::OpenPort(const core::Address& local, core::DatagramHandler* handler) {
+  return std::make_unique<AsioPort>(context_, local, handler, iteration_);
 }
 
-TimeUs AsioRuntime::QueueDelay() const { return turn_->backlog; }
+TimeUs AsioRuntime::QueueDelay() const { return iteration_->queue_delay; }
 
-const PortCounters& AsioRuntime::counters() const { return turn_->counters; }
+const PortCounters& AsioRuntime::counters() const { return iteration_->counters; }
 
 void AsioRuntime::Run() {
-  turn_->End();  // what was sent before the loop ran
+  iteration_->FlushPorts();  // datagrams sent before the loop started
   context_.restart();
   context_.run();
-  turn_->End();
+  iteration_->FlushPorts();
 }
 
 }  // namespace croftrun::runtime
--- a/src/runtime/asio_runtime.h
+++ b/src/runtime/asio_runtime.h
@@ -1,7 +1,7 @@
-// The Runtime on real sockets: Boost.Asio with C++20 coroutines.
+// core::Runtime on real sockets, implemented with Boost.Asio and C++20 coroutines.
 //
-// One io_context, one thread. Each port has one coroutine that receives, the timers have one that waits; each is
-// owned by its object and ends with it.
+// One io_context on one thread. Each port has a receiving coroutine, and all timers share one waiting coroutine. A
+// coroutine ends with the object it belongs to.
 #ifndef CROFTRUN_RUNTIME_ASIO_RUNTIME_H_
 #define CROFTRUN_RUNTIME_ASIO_RUNTIME_H_
 
@@ -19,17 +19,19 @@
 
 namespace croftrun::runtime {
 
+// Datagram counters over all ports.
 struct PortCounters {
   std::uint64_t received = 0, sent = 0;
-  std::uint64_t lost = 0;     // the socket would not take it
-  std::uint64_t dropped = 0;  // arrived while the queue of the process was full
+  std::uint64_t lost = 0;     // could not be sent by the socket
+  std::uint64_t dropped = 0;  // received while the receive queue was full
 };
 
-// State that ports and their coroutines share with the runtime.
-struct Turn;
-// Streams that are gone and whose connections are closing in order.
+// State of the event loop that ports and their coroutines share with the runtime.
+struct LoopIteration;
+// Connections of destroyed streams that are still being closed in an orderly way.
 struct Lingering;
 
+// Runs the event loop.
 class AsioRuntime final : public core::Runtime {
  public:
   AsioRuntime();
@@ -39,31 +41,31 @@
   std::int64_t WallClockUs() const override;
   core::TimerId StartTimer(TimeUs delay, std::function<void()> due) override;
   void CancelTimer(core::TimerId timer) override;
-  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* sink) override;
-  std::unique_ptr<core::Stream> Connect(const core::Address& to, TimeUs timeout, core::StreamHandler* sink) override;
+  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* handler) override;
+  std::unique_ptr<core::Stream> Connect(const core::Address& to, TimeUs timeout, core::StreamHandler* handler) override;
   std::unique_ptr<core::StreamListener> Listen(const core::Address& local, core::StreamAcceptor* acceptor) override;
   std::uint64_t Random() override { return random_(); }
   TimeUs QueueDelay() const override;
 
-  // Runs until Stop; may be run again after it.
+  // Runs the event loop until Stop; may be called again after that.
   void Run();
   void Stop() { context_.stop(); }
   boost::asio::io_context& context() { return context_; }
   const PortCounters& counters() const;
 
  private:
-  struct Waiting;
+  struct TimerLoop;
   void Rearm();
   static std::shared_ptr<Lingering> MakeLingering();
 
   boost::asio::io_context context_{1};
   std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
   std::map<std::pair<TimeUs, core::TimerId>, std::function<void()>> timers_;
-  std::unordered_map<core::TimerId, TimeUs> due_at_;
+  std::unordered_map<core::TimerId, TimeUs> expiry_times_;
   core::TimerId next_timer_ = 1;
-  std::shared_ptr<Waiting> waiting_;
+  std::shared_ptr<TimerLoop> timer_loop_;
   std::mt19937_64 random_{std::random_device{}()};
-  std::shared_ptr<Turn> turn_;
+  std::shared_ptr<LoopIteration> iteration_;
   std::shared_ptr<Lingering> lingering_ = MakeLingering();
 };
 
--- a/src/runtime/asio_streams.cpp
+++ b/src/runtime/asio_streams.cpp
@@ -1,6 +1,7 @@
-// Streams of the Asio runtime: TCP without delay, each with one coroutine that reads and one, while there is something
-// to write that the socket did not take, that writes. Both are owned by the state that they share with the stream. A
-// stream that is destroyed while it is open half-closes and lingers; the runtime owns those, and bounds them.
+// Streams of the Asio runtime: TCP connections with TCP_NODELAY. Each has a coroutine that reads, and a second one that
+// writes while the write buffer holds data that the socket did not accept. Both share their state with the stream. A
+// stream that is destroyed while open is half-closed and lingers; the runtime owns lingering connections and bounds
+// them.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -32,22 +33,22 @@
 
 namespace {
 
-// The wait before accepting is tried again after the process ran out of descriptors.
-constexpr std::chrono::milliseconds kAcceptPause{20};
-constexpr int kBacklog = 1024;
-// How long a closed connection is still read and written, how many at once, and how much of what comes is read: each is
-// a descriptor, and who sends without end is not worth one.
-constexpr std::chrono::milliseconds kLinger{100};
-constexpr std::size_t kMostLingering = 8, kMostLingerOctets = 256 << 10;
+// Delay before accepting is retried, after the acceptor declined or the descriptor limit was reached.
+constexpr std::chrono::milliseconds kAcceptRetryDelay{20};
+constexpr int kListenBacklog = 1024;
+// Limits of lingering: how long a closed connection is still read and written, how many connections linger at the same
+// time, and how many octets are read. Each one occupies a descriptor, which a peer that keeps sending must not hold.
+constexpr std::chrono::milliseconds kLingerTimeout{100};
+constexpr std::size_t kMaxLingering = 8, kMaxLingerOctets = 256 << 10;
 
 struct StreamState {
   explicit StreamState(tcp::socket s) : socket(std::move(s)), wake(socket.get_executor()) {}
   tcp::socket socket;
-  asio::steady_timer wake;              // ends the pause of the reader, or the wait for the connection
-  core::StreamHandler* sink = nullptr;  // null until the acceptor named it, and once the stream is gone or over
+  asio::steady_timer wake;                 // ends a pause of the reader or the wait for the connection
+  core::StreamHandler* handler = nullptr;  // null before OnAccept returns and after the stream has ended
   core::Address remote;
   std::string output;
-  std::size_t written = 0;  // of it
+  std::size_t written = 0;  // octets of `output` already sent
   bool open = false, paused = false, writing = false, over = false;
 
   void Close() {
@@ -58,10 +59,10 @@
   }
   void End(core::StreamEnd end) {
     Close();
-    if (core::StreamHandler* const told = std::exchange(sink, nullptr)) told->OnEnd(end);
+    if (core::StreamHandler* const receiver = std::exchange(handler, nullptr)) receiver->OnEnd(end);
   }
-  // Hands over what the socket takes now; false once the connection is broken. The reader tells of the break.
-  bool Push() {
+  // Writes as much as the socket accepts now. Returns false if the connection is lost, which the reader reports.
+  bool WriteSome() {
     while (written < output.size()) {
       const auto sent =
           ::send(socket.native_handle(), output.data() + written, output.size() - written, MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -81,84 +82,85 @@
   while (!state->over && !state->output.empty()) {
     co_await state->socket.async_wait(tcp::socket::wait_write, asio::redirect_error(asio::use_awaitable, error));
     if (error || state->over) break;
-    if (!state->Push()) break;
+    if (!state->WriteSome()) break;
   }
   state->writing = false;
 }
 
 void Flush(const std::shared_ptr<StreamState>& state) {
-  if (!state->open || state->writing || !state->Push() || state->output.empty()) return;
+  if (!state->open || state->writing || !state->WriteSome() || state->output.empty()) return;
   state->writing = true;
   asio::co_spawn(state->socket.get_executor(), WriteRest(state), asio::detached);
 }
 
 asio::awaitable<void> Read(std::shared_ptr<StreamState> state) {
-  // One thread: whatever a read brings is worked on before the next one.
+  // Shared by all streams: the loop runs on one thread, and each read is processed before the next one.
   static thread_local std::array<char, core::kMaxStreamRead> buffer;
   const auto executor = co_await asio::this_coro::executor;
   error_code error;
-  while (state->sink != nullptr) {
+  while (state->handler != nullptr) {
     if (state->paused) {
       state->wake.expires_at(asio::steady_timer::time_point::max());
       co_await state->wake.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
     }
     co_await state->socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-    if (state->sink == nullptr) co_return;
+    if (state->handler == nullptr) co_return;
     if (error) co_return state->End(core::StreamEnd::kReset);
     if (state->paused) continue;
-    const auto got = ::recv(state->socket.native_handle(), buffer.data(), buffer.size(), MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) continue;
-    if (got <= 0) co_return state->End(got == 0 ? core::StreamEnd::kClosed : core::StreamEnd::kReset);
-    state->sink->OnBytes({buffer.data(), static_cast<std::size_t>(got)});
-    // Who sends at full speed waits for the others.
-    if (static_cast<std::size_t>(got) == buffer.size()) co_await asio::post(executor, asio::use_awaitable);
+    const auto received = ::recv(state->socket.native_handle(), buffer.data(), buffer.size(), MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) continue;
+    if (received <= 0) co_return state->End(received == 0 ? core::StreamEnd::kClosed : core::StreamEnd::kReset);
+    state->handler->OnBytes({buffer.data(), static_cast<std::size_t>(received)});
+    // Yield to other connections if this one sends at full speed.
+    if (static_cast<std::size_t>(received) == buffer.size()) co_await asio::post(executor, asio::use_awaitable);
   }
 }
 
 asio::awaitable<void> Open(std::shared_ptr<StreamState> state, TimeUs timeout) {
   const auto executor = co_await asio::this_coro::executor;
-  // Even what fails at once is told from the loop, not from within Connect.
+  // Immediate failures are reported from the event loop too, not from within Connect.
   co_await asio::post(executor, asio::use_awaitable);
-  if (state->sink == nullptr) co_return;
+  if (state->handler == nullptr) co_return;
   error_code error;
   state->socket.open(tcp::v4(), error);
-  if (error) co_return state->End(core::StreamEnd::kTimedOut);  // no descriptor: as if it never came up
-  bool late = false;
+  if (error)
+    co_return state->End(core::StreamEnd::kTimedOut);  // no descriptor available: reported like a connection time-out
+  bool timeout_expired = false;
   state->wake.expires_after(std::chrono::microseconds(timeout));
-  state->wake.async_wait([state, &late](const error_code& cancelled) {
+  state->wake.async_wait([state, &timeout_expired](const error_code& cancelled) {
     if (cancelled || state->open) return;
-    late = true;
+    timeout_expired = true;
     error_code ignored;
     state->socket.close(ignored);
   });
   co_await state->socket.async_connect(EndpointOf<tcp>(state->remote),
                                        asio::redirect_error(asio::use_awaitable, error));
-  const bool timed_out = late;
+  const bool timed_out = timeout_expired;
   state->open = !error;
   state->wake.cancel();
-  // The handler of the timer refers to this frame: it runs, cancelled, before the next turn is over.
+  // The timer handler refers to this coroutine frame; it runs, cancelled, before this post completes.
   co_await asio::post(executor, asio::use_awaitable);
-  if (state->sink == nullptr) co_return;
+  if (state->handler == nullptr) co_return;
   if (error) {
     const bool refused = !timed_out && error == asio::error::connection_refused;
     const bool reset = !timed_out && error == asio::error::connection_reset;
     co_return state->End(refused || reset ? core::StreamEnd::kRefused : core::StreamEnd::kTimedOut);
   }
   state->socket.set_option(tcp::no_delay(true), error);
-  state->sink->OnOpen();
-  if (state->sink == nullptr) co_return;
+  state->handler->OnOpen();
+  if (state->handler == nullptr) co_return;
   Flush(state);
   co_await Read(state);
 }
 
 }  // namespace
 
-// Connections that are closing in order, the oldest first.
+// Lingering connections, oldest first.
 struct Lingering {
   std::deque<std::shared_ptr<StreamState>> states;
 
-  // False where there is none.
+  // Closes the oldest connection; returns false if there is none.
   bool CloseOldest() {
     if (states.empty()) return false;
     const auto oldest = states.front();
@@ -170,47 +172,48 @@
 
 namespace {
 
-// The end of the wait, from now on.
-void CloseAfter(const std::shared_ptr<StreamState>& state) {
-  state->wake.expires_after(kLinger);
+// Restarts the linger time-out.
+void RestartLingerTimeout(const std::shared_ptr<StreamState>& state) {
+  state->wake.expires_after(kLingerTimeout);
   state->wake.async_wait([state](const error_code& cancelled) {
     if (!cancelled) state->Close();
   });
 }
 
-// Writes the rest while the far end goes on reading, closes this side's half, and reads until the far end closes too.
-asio::awaitable<void> CloseInOrder(std::shared_ptr<StreamState> state, std::shared_ptr<Lingering> lingering) {
-  static thread_local std::array<char, core::kMaxStreamRead> dropped;
+// Writes the rest of the write buffer as long as the far end reads, half-closes the connection, and reads until the far
+// end closes too.
+asio::awaitable<void> FinishLingering(std::shared_ptr<StreamState> state, std::shared_ptr<Lingering> lingering) {
+  static thread_local std::array<char, core::kMaxStreamRead> discarded;
   error_code error;
-  while (!state->over && state->Push() && !state->output.empty()) {
-    CloseAfter(state);
+  while (!state->over && state->WriteSome() && !state->output.empty()) {
+    RestartLingerTimeout(state);
     co_await state->socket.async_wait(tcp::socket::wait_write, asio::redirect_error(asio::use_awaitable, error));
   }
   if (!state->over) {
-    CloseAfter(state);
+    RestartLingerTimeout(state);
     state->socket.shutdown(tcp::socket::shutdown_send, error);
   }
   std::size_t octets = 0;
-  while (!state->over && octets < kMostLingerOctets) {
+  while (!state->over && octets < kMaxLingerOctets) {
     co_await state->socket.async_wait(tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
     if (error || state->over) break;
-    const auto got = ::recv(state->socket.native_handle(), dropped.data(), dropped.size(), MSG_DONTWAIT);
-    if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) continue;
-    if (got <= 0) break;
-    octets += static_cast<std::size_t>(got);
+    const auto received = ::recv(state->socket.native_handle(), discarded.data(), discarded.size(), MSG_DONTWAIT);
+    if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) continue;
+    if (received <= 0) break;
+    octets += static_cast<std::size_t>(received);
   }
   state->Close();
   std::erase(lingering->states, state);
 }
 
 void Linger(const std::shared_ptr<StreamState>& state, const std::shared_ptr<Lingering>& lingering) {
-  if (lingering->states.size() >= kMostLingering) lingering->CloseOldest();
+  if (lingering->states.size() >= kMaxLingering) lingering->CloseOldest();
   lingering->states.push_back(state);
-  state->wake.cancel();  // a reader that is paused finds its sink gone
-  // What can go at once goes now, the close with it, should the process end before the next turn.
+  state->wake.cancel();  // wakes a paused reader, which then finds no handler
+  // Writes and half-closes at once if possible, in case the process ends before the next iteration of the event loop.
   error_code ignored;
-  if (state->Push() && state->output.empty()) state->socket.shutdown(tcp::socket::shutdown_send, ignored);
-  asio::co_spawn(state->socket.get_executor(), CloseInOrder(state, lingering), asio::detached);
+  if (state->WriteSome() && state->output.empty()) state->socket.shutdown(tcp::socket::shutdown_send, ignored);
+  asio::co_spawn(state->socket.get_executor(), FinishLingering(state, lingering), asio::detached);
 }
 
 class AsioStream final : public core::Stream {
@@ -218,7 +221,7 @@
   AsioStream(std::shared_ptr<StreamState> state, std::shared_ptr<Lingering> lingering)
       : state_(std::move(state)), lingering_(std::move(lingering)) {}
   ~AsioStream() override {
-    state_->sink = nullptr;
+    state_->handler = nullptr;
     if (state_->open && !state_->over) {
       Linger(state_, lingering_);
     } else {
@@ -226,7 +229,7 @@
     }
   }
   void Write(std::string_view bytes) override {
-    if (state_->over) return;  // also from within OnAccept, before there is a sink
+    if (state_->over) return;  // Write may be called from within OnAccept, before the handler is set
     state_->output.append(bytes);
     Flush(state_);
   }
@@ -253,17 +256,17 @@
 };
 
 struct ListenerState {
-  ListenerState(asio::io_context& context, const core::Address& local, core::StreamAcceptor* a)
-      : socket(context), pause(context), acceptor(a) {
+  ListenerState(asio::io_context& context, const core::Address& local, core::StreamAcceptor* stream_acceptor)
+      : socket(context), pause(context), acceptor(stream_acceptor) {
     const tcp::endpoint endpoint = EndpointOf<tcp>(local);
     socket.open(endpoint.protocol());
     socket.set_option(asio::socket_base::reuse_address(true));
     socket.bind(endpoint);
-    socket.listen(kBacklog);
+    socket.listen(kListenBacklog);
   }
   tcp::acceptor socket;
   asio::steady_timer pause;
-  core::StreamAcceptor* acceptor;  // null once the listener is gone
+  core::StreamAcceptor* acceptor;  // null once the listener has been destroyed
 };
 
 asio::awaitable<void> Accept(std::shared_ptr<ListenerState> state, std::shared_ptr<Lingering> lingering) {
@@ -271,9 +274,9 @@
   while (state->acceptor != nullptr) {
     co_await state->socket.async_wait(tcp::acceptor::wait_read, asio::redirect_error(asio::use_awaitable, error));
     if (state->acceptor == nullptr) co_return;
-    // One that cannot be had yet waits where it is: to close it would lose what it brings.
+    // A connection that cannot be accepted yet stays in the listen queue: closing it would lose the data it carries.
     if (!state->acceptor->CanAccept()) {
-      state->pause.expires_after(kAcceptPause);
+      state->pause.expires_after(kAcceptRetryDelay);
       co_await state->pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
     }
@@ -281,18 +284,18 @@
     if (state->acceptor == nullptr) co_return;
     if (error) {
       if (error == asio::error::no_descriptors && !lingering->CloseOldest()) state->acceptor->OnDescriptorsExhausted();
-      state->pause.expires_after(kAcceptPause);
+      state->pause.expires_after(kAcceptRetryDelay);
       co_await state->pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
       continue;
     }
     const auto remote = socket.remote_endpoint(error);
-    if (error) continue;  // gone before it was looked at
+    if (error) continue;  // the connection is already gone
     socket.set_option(tcp::no_delay(true), error);
     auto stream = std::make_shared<StreamState>(std::move(socket));
     stream->remote = AddressOf(remote);
     stream->open = true;
-    stream->sink = state->acceptor->OnAccept(std::make_unique<AsioStream>(stream, lingering));
-    if (stream->sink == nullptr) continue;
+    stream->handler = state->acceptor->OnAccept(std::make_unique<AsioStream>(stream, lingering));
+    if (stream->handler == nullptr) continue;
     asio::co_spawn(state->socket.get_executor(), Read(stream), asio::detached);
   }
 }
@@ -320,10 +323,11 @@
 
 std::shared_ptr<Lingering> AsioRuntime::MakeLingering() { return std::make_shared<Lingering>(); }
 
-std::unique_ptr<core::Stream> AsioRuntime::Connect(const core::Address& to, TimeUs timeout, core::StreamHandler* sink) {
+std::unique_ptr<core::Stream> AsioRuntime::Connect(const core::Address& to, TimeUs timeout,
+                                                   core::StreamHandler* handler) {
   auto state = std::make_shared<StreamState>(tcp::socket(context_));
   state->remote = to;
-  state->sink = sink;
+  state->handler = handler;
   asio::co_spawn(context_, Open(state, timeout), asio::detached);
   return std::make_unique<AsioStream>(state, lingering_);
 }
--- a/src/runtime/endpoints.h
+++ b/src/runtime/endpoints.h
@@ -1,4 +1,4 @@
-// Addresses of the seam as Asio's endpoints, and back; IPv4 only, as the seam.
+// Conversion between core::Address and Asio endpoints; IPv4 only, as core::Address.
 #ifndef CROFTRUN_RUNTIME_ENDPOINTS_H_
 #define CROFTRUN_RUNTIME_ENDPOINTS_H_
 
--- a/src/sim/memory_disk.cpp
+++ b/src/sim/memory_disk.cpp
@@ -5,7 +5,7 @@
 namespace croftrun::sim {
 namespace {
 
-std::error_code Of(std::errc code) { return std::make_error_code(code); }
+std::error_code ErrorCode(std::errc code) { return std::make_error_code(code); }
 
 }  // namespace
 
@@ -14,9 +14,9 @@
   MemoryFile(MemoryDisk* disk, std::string path) : disk_(disk), path_(std::move(path)) {}
   std::error_code Append(std::string_view octets) override {
     const std::size_t used = disk_->used();
-    const std::size_t fits = std::min(octets.size(), disk_->room_ > used ? disk_->room_ - used : 0);
+    const std::size_t fits = std::min(octets.size(), disk_->capacity_ > used ? disk_->capacity_ - used : 0);
     disk_->files_[path_].octets.append(octets.substr(0, fits));
-    return fits < octets.size() ? Of(std::errc::no_space_on_device) : std::error_code();
+    return fits < octets.size() ? ErrorCode(std::errc::no_space_on_device) : std::error_code();
   }
   std::error_code Truncate(std::uint64_t size) override {
     auto& file = disk_->files_[path_];
@@ -44,10 +44,10 @@
   return {};
 }
 
-std::error_code MemoryDisk::Read(const std::string& path, std::size_t most, std::string* octets) {
+std::error_code MemoryDisk::Read(const std::string& path, std::size_t max_octets, std::string* octets) {
   const auto found = files_.find(path);
-  if (found == files_.end()) return Of(std::errc::no_such_file_or_directory);
-  if (found->second.octets.size() > most) return Of(std::errc::file_too_large);
+  if (found == files_.end()) return ErrorCode(std::errc::no_such_file_or_directory);
+  if (found->second.octets.size() > max_octets) return ErrorCode(std::errc::file_too_large);
   *octets = found->second.octets;
   return {};
 }
@@ -59,13 +59,13 @@
 }
 
 std::error_code MemoryDisk::Replace(const std::string& path, std::string_view octets) {
-  if (used() + octets.size() > room_) return Of(std::errc::no_space_on_device);
+  if (used() + octets.size() > capacity_) return ErrorCode(std::errc::no_space_on_device);
   files_[path] = {std::string(octets), octets.size()};
   return {};
 }
 
 std::error_code MemoryDisk::Remove(const std::string& path) {
-  return files_.erase(path) > 0 ? std::error_code() : Of(std::errc::no_such_file_or_directory);
+  return files_.erase(path) > 0 ? std::error_code() : ErrorCode(std::errc::no_such_file_or_directory);
 }
 
 void MemoryDisk::Crash(unsigned kept) {
--- a/src/sim/stallable_runtime.cpp
+++ b/src/sim/stallable_runtime.cpp
@@ -8,74 +8,74 @@
 
 class StallableRuntime::Port final : public core::DatagramPort, public core::DatagramHandler {
  public:
-  Port(StallableRuntime* owner, const core::Address& local, core::DatagramHandler* sink)
-      : owner_(owner), sink_(sink), port_(owner->under_->OpenPort(local, this)) {}
+  Port(StallableRuntime* owner, const core::Address& local, core::DatagramHandler* handler)
+      : owner_(owner), handler_(handler), port_(owner->wrapped_->OpenPort(local, this)) {}
   ~Port() override { *open_ = false; }
   void Send(const core::Address& to, std::string_view bytes) override { port_->Send(to, bytes); }
   core::Address Local() const override { return port_->Local(); }
   bool ShouldReceive(const core::Address& from, std::string_view bytes) override {
-    return sink_->ShouldReceive(from, bytes);
+    return handler_->ShouldReceive(from, bytes);
   }
   void OnDatagram(const core::Address& from, std::string_view bytes) override {
-    if (!owner_->still_) return sink_->OnDatagram(from, bytes);
-    owner_->Do(core::kNoTimer, [open = open_, sink = sink_, from, text = std::string(bytes)] {
-      if (*open) sink->OnDatagram(from, text);
+    if (!owner_->stalled_) return handler_->OnDatagram(from, bytes);
+    owner_->RunOrHold(core::kNoTimer, [open = open_, handler = handler_, from, text = std::string(bytes)] {
+      if (*open) handler->OnDatagram(from, text);
     });
   }
 
  private:
   StallableRuntime* owner_;
-  core::DatagramHandler* sink_;
+  core::DatagramHandler* handler_;
   std::shared_ptr<bool> open_ = std::make_shared<bool>(true);
   std::unique_ptr<core::DatagramPort> port_;
 };
 
 StallableRuntime::~StallableRuntime() {
   *alive_ = false;
-  for (const auto& [own, under] : timers_) under_->CancelTimer(under);
+  for (const auto& [own, wrapped] : timers_) wrapped_->CancelTimer(wrapped);
 }
 
-void StallableRuntime::Do(core::TimerId timer, std::function<void()> what) {
-  if (still_) {
-    waiting_.push_back({Now(), timer, std::move(what)});
+void StallableRuntime::RunOrHold(core::TimerId timer, std::function<void()> work) {
+  if (stalled_) {
+    held_.push_back({Now(), timer, std::move(work)});
   } else {
-    what();
+    work();
   }
 }
 
 core::TimerId StallableRuntime::StartTimer(TimeUs delay, std::function<void()> due) {
-  const core::TimerId id = next_++;
-  timers_[id] = under_->StartTimer(delay, [this, id, due = std::move(due)]() mutable {
+  const core::TimerId id = next_timer_++;
+  timers_[id] = wrapped_->StartTimer(delay, [this, id, due = std::move(due)]() mutable {
     timers_.erase(id);
-    Do(id, std::move(due));
+    RunOrHold(id, std::move(due));
   });
   return id;
 }
 
 void StallableRuntime::CancelTimer(core::TimerId timer) {
   if (const auto found = timers_.find(timer); found != timers_.end()) {
-    under_->CancelTimer(found->second);
+    wrapped_->CancelTimer(found->second);
     timers_.erase(found);
     return;
   }
-  std::erase_if(waiting_, [timer](const Waiting& w) { return timer != core::kNoTimer && w.timer == timer; });
+  std::erase_if(held_, [timer](const HeldWork& w) { return timer != core::kNoTimer && w.timer == timer; });
 }
 
 std::unique_ptr<core::DatagramPort> StallableRuntime::OpenPort(const core::Address& local,
-                                                               core::DatagramHandler* sink) {
-  return std::make_unique<Port>(this, local, sink);
+                                                               core::DatagramHandler* handler) {
+  return std::make_unique<Port>(this, local, handler);
 }
 
-void StallableRuntime::Stall(bool stands_still) {
-  still_ = stands_still;
+void StallableRuntime::Stall(bool stalled) {
+  stalled_ = stalled;
   const std::shared_ptr<bool> alive = alive_;
-  while (*alive && !still_ && !waiting_.empty()) {
-    const Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
-    backlog_ = Now() - next.at;
-    next.what();
+  while (*alive && !stalled_ && !held_.empty()) {
+    const HeldWork next = std::move(held_.front());
+    held_.pop_front();
+    queue_delay_ = Now() - next.at;
+    next.work();
   }
-  if (*alive) backlog_ = 0;
+  if (*alive) queue_delay_ = 0;
 }
 
 }  // namespace croftrun::sim
--- a/src/sim/stallable_runtime.h
+++ b/src/sim/stallable_runtime.h
@@ -1,6 +1,5 @@
-// A runtime that can be made to stand still, as a process does that gets no processor: its clock goes on, but
-// no timer and no datagram is worked on until it goes on, and then all that came meanwhile is there at once,
-// in order.
+// A runtime that can be stalled like a process that gets no processor time. The clock continues, but timers and
+// datagrams are held back. When the stall ends, everything that accumulated is delivered at once and in order.
 #ifndef CROFTRUN_SIM_STALLABLE_RUNTIME_H_
 #define CROFTRUN_SIM_STALLABLE_RUNTIME_H_
 
@@ -13,37 +12,39 @@
 
 namespace croftrun::sim {
 
-// `under` outlives it; everything opened or started here ends with it.
+// Forwards to the runtime `wrapped`, which must outlive it. Its timers are cancelled when it is destroyed.
 class StallableRuntime final : public core::Runtime {
  public:
-  explicit StallableRuntime(core::Runtime* under) : under_(under) {}
+  explicit StallableRuntime(core::Runtime* wrapped) : wrapped_(wrapped) {}
   ~StallableRuntime() override;
 
-  void Stall(bool stands_still);
+  // Starts or ends a stall.
+  void Stall(bool stalled);
 
-  TimeUs Now() const override { return under_->Now(); }
-  std::int64_t WallClockUs() const override { return under_->WallClockUs(); }
+  TimeUs Now() const override { return wrapped_->Now(); }
+  std::int64_t WallClockUs() const override { return wrapped_->WallClockUs(); }
   core::TimerId StartTimer(TimeUs delay, std::function<void()> due) override;
   void CancelTimer(core::TimerId timer) override;
-  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* sink) override;
-  std::uint64_t Random() override { return under_->Random(); }
-  TimeUs QueueDelay() const override { return backlog_; }
+  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* handler) override;
+  std::uint64_t Random() override { return wrapped_->Random(); }
+  TimeUs QueueDelay() const override { return queue_delay_; }
 
  private:
   class Port;
-  struct Waiting {
+  struct HeldWork {
     TimeUs at = 0;
-    core::TimerId timer = core::kNoTimer;  // or a datagram
-    std::function<void()> what;
+    core::TimerId timer = core::kNoTimer;  // kNoTimer: a datagram
+    std::function<void()> work;
   };
-  void Do(core::TimerId timer, std::function<void()> what);
-
-  core::Runtime* under_;
-  bool still_ = false;
-  TimeUs backlog_ = 0;
-  core::TimerId next_ = 1;
-  std::unordered_map<core::TimerId, core::TimerId> timers_;  // of this one to that under it
-  std::deque<Waiting> waiting_;
+  // Runs `work` now, or queues it during a stall.
+  void RunOrHold(core::TimerId timer, std::function<void()> work);
+
+  core::Runtime* wrapped_;
+  bool stalled_ = false;
+  TimeUs queue_delay_ = 0;
+  core::TimerId next_timer_ = 1;
+  std::unordered_map<core::TimerId, core::TimerId> timers_;  // own timer to timer of the wrapped runtime
+  std::deque<HeldWork> held_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/sim/virtual_runtime.cpp
+++ b/src/sim/virtual_runtime.cpp
@@ -7,8 +7,8 @@
 
 class VirtualRuntime::Port final : public core::DatagramPort {
  public:
-  Port(VirtualRuntime* runtime, const core::Address& local, core::DatagramHandler* s)
-      : sink(s), runtime_(runtime), local_(local) {}
+  Port(VirtualRuntime* runtime, const core::Address& local, core::DatagramHandler* datagram_handler)
+      : handler(datagram_handler), runtime_(runtime), local_(local) {}
   ~Port() override {
     if (runtime_ != nullptr) runtime_->ports_.erase(local_);
   }
@@ -16,16 +16,16 @@
     if (runtime_ == nullptr) return;
     VirtualRuntime* const runtime = runtime_;
     runtime->StartTimer(runtime->latency_us_, [runtime, to, from = local_, text = std::string(bytes)] {
-      // Nobody listens there: lost, as on the real network.
+      // If no port is open there, the datagram is lost.
       const auto port = runtime->ports_.find(to);
-      if (port != runtime->ports_.end() && port->second->sink->ShouldReceive(from, text))
-        port->second->sink->OnDatagram(from, text);
+      if (port != runtime->ports_.end() && port->second->handler->ShouldReceive(from, text))
+        port->second->handler->OnDatagram(from, text);
     });
   }
   core::Address Local() const override { return local_; }
   void Orphan() { runtime_ = nullptr; }
 
-  core::DatagramHandler* const sink;
+  core::DatagramHandler* const handler;
 
  private:
   VirtualRuntime* runtime_;
@@ -39,19 +39,20 @@
 core::TimerId VirtualRuntime::StartTimer(TimeUs delay, std::function<void()> due) {
   const core::TimerId id = next_timer_++;
   timers_.emplace(std::make_pair(now_ + delay, id), std::move(due));
-  due_at_.emplace(id, now_ + delay);
+  expiry_times_.emplace(id, now_ + delay);
   return id;
 }
 
 void VirtualRuntime::CancelTimer(core::TimerId timer) {
-  const auto found = due_at_.find(timer);
-  if (found == due_at_.end()) return;
+  const auto found = expiry_times_.find(timer);
+  if (found == expiry_times_.end()) return;
   timers_.erase({found->second, timer});
-  due_at_.erase(found);
+  expiry_times_.erase(found);
 }
 
-std::unique_ptr<core::DatagramPort> VirtualRuntime::OpenPort(const core::Address& local, core::DatagramHandler* sink) {
-  auto port = std::make_unique<Port>(this, local, sink);
+std::unique_ptr<core::DatagramPort> VirtualRuntime::OpenPort(const core::Address& local,
+                                                             core::DatagramHandler* handler) {
+  auto port = std::make_unique<Port>(this, local, handler);
   if (!ports_.emplace(local, port.get()).second) {
     port->Orphan();
     throw std::system_error(std::make_error_code(std::errc::address_in_use), core::ToString(local));
@@ -62,7 +63,7 @@
 bool VirtualRuntime::Step() {
   if (timers_.empty()) return false;
   auto node = timers_.extract(timers_.begin());
-  due_at_.erase(node.key().second);
+  expiry_times_.erase(node.key().second);
   now_ = std::max(now_, node.key().first);
   node.mapped()();
   return true;
--- a/src/sim/virtual_streams.cpp
+++ b/src/sim/virtual_streams.cpp
@@ -1,4 +1,4 @@
-// Streams of the virtual runtime: octets arrive after the fixed latency, in order.
+// Streams of the virtual runtime: octets arrive in order after a fixed latency.
 #include <system_error>
 #include <utility>
 
@@ -7,29 +7,29 @@
 namespace croftrun::sim {
 namespace {
 
-constexpr TimeUs kAcceptPause = 20'000;
+constexpr TimeUs kAcceptRetryDelay = 20'000;
 
 }  // namespace
 
-// One direction's receiving end, shared by the stream that reads there and whatever is on its way to it.
+// Receiving end of one direction, shared by the stream that reads there and the data in transit to it.
 struct VirtualStream::End {
-  core::StreamHandler* sink = nullptr;  // null: that side is gone, or was told the end
-  bool open = false, paused = false, over = false;
-  core::StreamEnd how = core::StreamEnd::kClosed;
-  std::string kept;  // arrived while paused
+  core::StreamHandler* handler = nullptr;  // null: that side was destroyed or has received OnEnd
+  bool open = false, paused = false, ended = false;
+  core::StreamEnd pending_end = core::StreamEnd::kClosed;
+  std::string unread;  // octets received while paused
 
-  void Bytes(std::string_view bytes) {
-    if (sink == nullptr) return;
+  void Receive(std::string_view bytes) {
+    if (handler == nullptr) return;
     if (paused) {
-      kept.append(bytes);
+      unread.append(bytes);
     } else {
-      sink->OnBytes(bytes);
+      handler->OnBytes(bytes);
     }
   }
   void Finish(core::StreamEnd end) {
-    over = true;
-    if (paused && !kept.empty()) return void(how = end);  // told behind what lies unread
-    if (core::StreamHandler* const told = std::exchange(sink, nullptr)) told->OnEnd(end);
+    ended = true;
+    if (paused && !unread.empty()) return void(pending_end = end);  // reported after the unread octets
+    if (core::StreamHandler* const receiver = std::exchange(handler, nullptr)) receiver->OnEnd(end);
   }
 };
 
@@ -37,45 +37,45 @@
     : runtime_(runtime), own_(std::make_shared<End>()), far_(std::make_shared<End>()), remote_(remote) {}
 
 VirtualStream::~VirtualStream() {
-  own_->sink = nullptr;
-  if (!broken_) Tell(core::StreamEnd::kClosed);
+  own_->handler = nullptr;
+  if (!broken_) SendEnd(core::StreamEnd::kClosed);
 }
 
-void VirtualStream::Tell(core::StreamEnd end) {
+void VirtualStream::SendEnd(core::StreamEnd end) {
   runtime_->StartTimer(runtime_->latency_us_, [far = far_, end] { far->Finish(end); });
 }
 
 void VirtualStream::Write(std::string_view bytes) {
   if (!own_->open) {
-    waiting_.append(bytes);
+    unsent_.append(bytes);
     return;
   }
-  runtime_->StartTimer(runtime_->latency_us_, [far = far_, text = std::string(bytes)] { far->Bytes(text); });
+  runtime_->StartTimer(runtime_->latency_us_, [far = far_, text = std::string(bytes)] { far->Receive(text); });
 }
 
-std::size_t VirtualStream::PendingWriteOctets() const { return waiting_.size(); }
-bool VirtualStream::HasUnreadInput() const { return !own_->kept.empty(); }
-bool VirtualStream::PeerClosed() const { return own_->over; }
+std::size_t VirtualStream::PendingWriteOctets() const { return unsent_.size(); }
+bool VirtualStream::HasUnreadInput() const { return !own_->unread.empty(); }
+bool VirtualStream::PeerClosed() const { return own_->ended; }
 
 void VirtualStream::PauseReading(bool pause) {
   own_->paused = pause;
-  if (pause || own_->kept.empty()) return;
+  if (pause || own_->unread.empty()) return;
   runtime_->StartTimer(0, [own = own_] {
-    own->Bytes(std::exchange(own->kept, {}));
-    if (own->over) own->Finish(own->how);
+    own->Receive(std::exchange(own->unread, {}));
+    if (own->ended) own->Finish(own->pending_end);
   });
 }
 
 void VirtualStream::Break() {
   broken_ = true;
-  Tell(core::StreamEnd::kReset);
+  SendEnd(core::StreamEnd::kReset);
   runtime_->StartTimer(0, [own = own_] { own->Finish(core::StreamEnd::kReset); });
 }
 
 class VirtualRuntime::Listener final : public core::StreamListener {
  public:
-  Listener(VirtualRuntime* runtime, const core::Address& local, core::StreamAcceptor* a)
-      : acceptor(a), runtime_(runtime), local_(local) {}
+  Listener(VirtualRuntime* runtime, const core::Address& local, core::StreamAcceptor* stream_acceptor)
+      : acceptor(stream_acceptor), runtime_(runtime), local_(local) {}
   ~Listener() override { runtime_->listeners_.erase(local_); }
   core::Address Local() const override { return local_; }
   core::StreamAcceptor* const acceptor;
@@ -94,39 +94,39 @@
 }
 
 std::unique_ptr<core::Stream> VirtualRuntime::Connect(const core::Address& to, TimeUs timeout,
-                                                      core::StreamHandler* sink) {
+                                                      core::StreamHandler* handler) {
   auto stream = std::make_unique<VirtualStream>(this, to);
-  stream->own_->sink = sink;
+  stream->own_->handler = handler;
   if (silent_.count(to) > 0) {
     StartTimer(timeout, [own = stream->own_] { own->Finish(core::StreamEnd::kTimedOut); });
     return stream;
   }
-  // The stream may be gone when the connection comes up; what it shares is not.
+  // The stream may be destroyed before the connection is open; the shared state is not.
   stream->alive_ = std::make_shared<VirtualStream*>(stream.get());
-  ComeUp(to, core::Address{host_, next_port_++}, stream->alive_, latency_us_);
+  OpenConnection(to, core::Address{host_, next_port_++}, stream->alive_, latency_us_);
   return stream;
 }
 
-void VirtualRuntime::ComeUp(const core::Address& to, const core::Address& from,
-                            const std::weak_ptr<VirtualStream*>& weak, TimeUs after) {
-  StartTimer(after, [this, to, from, weak] {
+void VirtualRuntime::OpenConnection(const core::Address& to, const core::Address& from,
+                                    const std::weak_ptr<VirtualStream*>& weak, TimeUs delay) {
+  StartTimer(delay, [this, to, from, weak] {
     const auto alive = weak.lock();
     if (alive == nullptr) return;
     const auto own = (*alive)->own_, far = (*alive)->far_;
     const auto listener = listeners_.find(to);
     if (listener == listeners_.end()) return own->Finish(core::StreamEnd::kRefused);
-    // It waits to be accepted, as behind a real listener, and what is written to it waits with it.
-    if (!listener->second->acceptor->CanAccept()) return ComeUp(to, from, weak, kAcceptPause);
+    // As in a real listen queue, the connection and the data written to it wait until it can be accepted.
+    if (!listener->second->acceptor->CanAccept()) return OpenConnection(to, from, weak, kAcceptRetryDelay);
     auto accepted = std::make_unique<VirtualStream>(this, from);
     accepted->own_ = far;
     accepted->far_ = own;
     far->open = own->open = true;
     VirtualStream& opened = **alive;
-    own->sink->OnOpen();
-    if (own->sink != nullptr && !opened.waiting_.empty()) opened.Write(std::exchange(opened.waiting_, {}));
-    // Held by the call below until the acceptor has it; its sink is known only after that.
+    own->handler->OnOpen();
+    if (own->handler != nullptr && !opened.unsent_.empty()) opened.Write(std::exchange(opened.unsent_, {}));
+    // The stream is passed to the acceptor, which returns its handler.
     core::StreamHandler* const accepting = listener->second->acceptor->OnAccept(std::move(accepted));
-    far->sink = accepting;
+    far->handler = accepting;
   });
 }
 
--- a/tests/core_parts_test.cpp
+++ b/tests/core_parts_test.cpp
@@ -12,60 +12,60 @@
 namespace croftrun::core {
 namespace {
 
-CircuitGroup Idle(std::size_t size, bool from_low) {
+CircuitGroup MakeIdleGroup(std::size_t size, bool from_low) {
   CircuitGroup group(size, from_low);
   for (std::size_t i = 0; i < size; ++i) group.Confirm(static_cast<CircuitNumber>(i));
   return group;
 }
 
-TEST(Circuits, EndsTakeFromOppositeSidesAllOrNone) {
-  CircuitGroup low = Idle(70, true), high = Idle(70, false);
-  std::vector<CircuitNumber> taken;
-  EXPECT_TRUE(low.Seize(2, 1, &taken));
-  EXPECT_EQ(taken, (std::vector<CircuitNumber>{0, 1}));
-  taken.clear();
-  EXPECT_TRUE(high.Seize(2, 1, &taken));
-  EXPECT_EQ(taken, (std::vector<CircuitNumber>{69, 68}));
-  taken.clear();
-  EXPECT_FALSE(low.Seize(69, 2, &taken));
-  EXPECT_TRUE(taken.empty());
+TEST(Circuits, SeizesFromOppositeEndsAllOrNone) {
+  CircuitGroup low = MakeIdleGroup(70, true), high = MakeIdleGroup(70, false);
+  std::vector<CircuitNumber> seized;
+  EXPECT_TRUE(low.Seize(2, 1, &seized));
+  EXPECT_EQ(seized, (std::vector<CircuitNumber>{0, 1}));
+  seized.clear();
+  EXPECT_TRUE(high.Seize(2, 1, &seized));
+  EXPECT_EQ(seized, (std::vector<CircuitNumber>{69, 68}));
+  seized.clear();
+  EXPECT_FALSE(low.Seize(69, 2, &seized));
+  EXPECT_TRUE(seized.empty());
   EXPECT_EQ(low.Count(CircuitState::kIdle), 68U);
 }
 
-TEST(Circuits, OnlyTheHolderGivesACircuitUpAndOnlyConfirmationFreesIt) {
-  CircuitGroup group = Idle(1, true);
-  std::vector<CircuitNumber> taken;
-  group.Seize(1, 7, &taken);
+TEST(Circuits, ReleasesForHolderOnlyAndFreesOnConfirmation) {
+  CircuitGroup group = MakeIdleGroup(1, true);
+  std::vector<CircuitNumber> seized;
+  group.Seize(1, 7, &seized);
   EXPECT_FALSE(group.Confirm(0));     // a stale release complete
   EXPECT_FALSE(group.Release(0, 8));  // another call
   EXPECT_TRUE(group.Release(0, 7));
   EXPECT_EQ(group.Count(CircuitState::kIdle), 0U);
-  EXPECT_FALSE(group.Seize(1, 9, &taken));
+  EXPECT_FALSE(group.Seize(1, 9, &seized));
   EXPECT_TRUE(group.Confirm(0));
-  EXPECT_TRUE(group.Seize(1, 9, &taken));
-  EXPECT_FALSE(group.SeizedByFarEnd(0, 3));  // glare
+  EXPECT_TRUE(group.Seize(1, 9, &seized));
+  EXPECT_FALSE(group.SeizeByFarEnd(0, 3));  // glare
   EXPECT_EQ(group.TakeOutOfService(0), 9U);
   EXPECT_EQ(group.InUse(), 0U);
   EXPECT_TRUE(group.BringIntoService(0));
 }
 
-TEST(Circuits, WhateverHappensEachCircuitIsInOneStateAndCountsAgree) {
+TEST(Circuits, CountsMatchStatesAfterRandomOperations) {
   rc::check([](const std::vector<std::uint16_t>& steps) {
     CircuitGroup group(5, true);
     for (const std::uint16_t step : steps) {
-      const auto circuit = static_cast<CircuitNumber>(step / 8 % 6);  // one beyond the group as well
+      const auto circuit = static_cast<CircuitNumber>(step / 8 % 6);  // includes one beyond the group
       const Holder holder = static_cast<Holder>(step / 64 % 3 + 1);
-      std::vector<CircuitNumber> taken;
-      if (step % 11 == 0) group.Refused(circuit);
+      std::vector<CircuitNumber> seized;
+      if (step % 11 == 0) group.RecordRefusal(circuit);
       if (step % 13 == 0) group.ConfirmWorking(circuit);
       if (step % 7 == 0) group.EndRest(circuit);
       switch (step % 8) {
         case 0:
-          group.Seize(step / 64 % 4, holder, &taken);
-          for (const CircuitNumber c : taken) RC_ASSERT(group.HeldBy(c) == holder);
+          group.Seize(step / 64 % 4, holder, &seized);
+          for (const CircuitNumber c : seized) RC_ASSERT(group.HeldBy(c) == holder);
           break;
         case 1:
-          group.SeizedByFarEnd(circuit, holder);
+          group.SeizeByFarEnd(circuit, holder);
           break;
         case 2:
         case 3:
@@ -97,17 +97,17 @@
   });
 }
 
-TEST(Roster, AnExchangeThatStartedBeforeThisClockIsLongStartedNotJustStarted) {
+TEST(Roster, ReportsStartBeforeOwnClockAsLongAgo) {
   RosterView view;
   RosterUpdate update;
   update.version = 1;
   update.entries.push_back({.exchange = 5, .number = 1, .incarnation = 2, .age_us = 12'500'000});
   DirectoryUpdate directory;
   ASSERT_EQ(view.Apply(1'200'000, update, &directory), RosterView::UpdateResult::kApplied);
-  EXPECT_EQ(directory.entries.at(0).since_us, 0U);  // 1 would make it cold for all of the warm-up from now on
+  EXPECT_EQ(directory.entries.at(0).since_us, 0U);  // 1 would start its warm-up now
 }
 
-TEST(NumberPlan, TheLongestPrefixWins) {
+TEST(NumberPlan, FindsLongestPrefix) {
   NumberPlan plan;
   EXPECT_TRUE(plan.Add("1", {.destination = 1}));
   EXPECT_TRUE(plan.Add("123", {.destination = 2}));
@@ -123,7 +123,7 @@
   EXPECT_EQ(NumberKey(""), 0U);
 }
 
-TEST(NumberPlan, AgreesWithAPlainSearch) {
+TEST(NumberPlan, MatchesLinearSearch) {
   rc::check([](const std::vector<std::uint32_t>& prefixes, std::uint32_t number) {
     NumberPlan plan;
     std::map<std::string, int> all;
@@ -143,7 +143,7 @@
   });
 }
 
-TEST(Roster, OldOvertakenAndGappedUpdatesAreTold) {
+TEST(Roster, DetectsStaleUpdatesAndGaps) {
   RosterView view;
   DirectoryUpdate directory;
   using V = RosterView::UpdateResult;
@@ -159,13 +159,13 @@
             V::kTooManyEntries);
 }
 
-TEST(Roster, AStartIsWorkedOutOnceAndADrainIsKeptWhateverTheIncarnation) {
+TEST(Roster, DerivesStartOncePerIncarnationAndAlwaysAppliesStatus) {
   RosterView view;
   DirectoryUpdate directory;
   RosterEntry entry{.exchange = 5, .number = 1, .incarnation = 2, .age_us = 400};
   view.Apply(1000, {.version = 1, .base = {}, .entries = {entry}}, &directory);
   EXPECT_EQ(directory.entries.at(0).since_us, 600U);
-  entry.age_us = 900;  // told again, the clocks a little apart: no fresh start
+  entry.age_us = 900;  // repeated with clock deviation: not a restart
   view.Apply(1600, {.version = 2, .base = {}, .entries = {entry}}, &directory);
   EXPECT_EQ(directory.entries.at(0).since_us, 600U);
   entry.incarnation = 3;
@@ -175,12 +175,12 @@
   entry.incarnation = 2;
   entry.status = ExchangeStatus::kGone;
   view.Apply(2100, {.version = 4, .base = {}, .entries = {entry}}, &directory);
-  ASSERT_EQ(directory.entries.size(), 1U);  // the last word on whether it may be sent to
+  ASSERT_EQ(directory.entries.size(), 1U);  // the latest status is applied in any case
   EXPECT_EQ(directory.entries[0].status, ExchangeStatus::kGone);
   EXPECT_EQ(directory.entries[0].since_us, 1900U);
 }
 
-TEST(Roster, OnlyWholeUpdatesAreRead) {
+TEST(Roster, RejectsMalformedUpdates) {
   EXPECT_TRUE(edge::ParseRosterUpdate(
       R"({"version":2,"entries":[{"exchange":1,"number":0,"zone":0,"status":"draining","incarnation":1,"age_ms":5}]})"));
   for (const char* wrong :
@@ -190,20 +190,21 @@
     EXPECT_FALSE(edge::ParseRosterUpdate(wrong)) << wrong;
 }
 
-TEST(Overload, AStandingWaitRefusesABurstDoesNot) {
-  OverloadGate gate({.target_us = 10'000, .span_us = 50'000});
+TEST(Overload, RefusesOnStandingQueueButNotOnBurst) {
+  OverloadGate gate({.target_us = 10'000, .window_us = 50'000});
   TimeUs now = 1'000'000;
-  for (int i = 0; i < 1000; ++i, now += 1'000) gate.Note(now, i % 20 == 0 ? 0 : 40'000);  // bursts, worked off
+  for (int i = 0; i < 1000; ++i, now += 1'000)
+    gate.RecordDelay(now, i % 20 == 0 ? 0 : 40'000);  // bursts that are processed in time
   EXPECT_EQ(gate.share(), 0.0);
-  for (int i = 0; i < 500; ++i, now += 1'000) gate.Note(now, 30'000);
+  for (int i = 0; i < 500; ++i, now += 1'000) gate.RecordDelay(now, 30'000);
   EXPECT_GT(gate.share(), 0.3);
-  EXPECT_TRUE(gate.Refuses(0.1));
-  EXPECT_FALSE(gate.Refuses(0.99));  // some always get in
-  for (int i = 0; i < 3000; ++i, now += 1'000) gate.Note(now, 0);
+  EXPECT_TRUE(gate.ShouldRefuse(0.1));
+  EXPECT_FALSE(gate.ShouldRefuse(0.99));  // some calls are always accepted
+  for (int i = 0; i < 3000; ++i, now += 1'000) gate.RecordDelay(now, 0);
   EXPECT_EQ(gate.share(), 0.0);
 }
 
-TEST(Addresses, OnlyWholeOnesAreRead) {
+TEST(Addresses, RejectsMalformedAddresses) {
   Address address;
   EXPECT_TRUE(ParseAddress("127.0.0.3:2427", &address));
   EXPECT_EQ(ToString(address), "127.0.0.3:2427");
@@ -214,7 +215,7 @@
 
 // ---- settings ----
 
-TEST(EdgeSettings, TenMistakesAreToldAtOnceWithTheirPlaces) {
+TEST(EdgeSettings, ReportsAllMistakesWithTheirPaths) {
   std::vector<config::Mistake> mistakes;
   edge::ParseEdgeSettings(R"({
     "exchange": {"number": "three"},
@@ -233,7 +234,7 @@
     EXPECT_NE(text.find(std::string(path) + ": "), std::string::npos) << path << " is missing in\n" << text;
 }
 
-TEST(EdgeSettings, WhatASchemaCannotSayIsCheckedToo) {
+TEST(EdgeSettings, ReportsMistakesBeyondTheSchema) {
   std::vector<config::Mistake> mistakes;
   edge::ParseEdgeSettings(R"({
     "exchange": {"number": 1}, "agent": {"listen": "nowhere"}, "gateway": {"address": "127.0.0.2:2427", "domain": "a@b"},
@@ -252,7 +253,7 @@
   edge::ParseEdgeSettings("{", &mistakes);
   EXPECT_EQ(mistakes.size(), 1U);
   mistakes.clear();
-  edge::ParseEdgeSettings(R"({"exchange": 5E5555})", &mistakes);  // found by the fuzzer: no double holds it
+  edge::ParseEdgeSettings(R"({"exchange": 5E5555})", &mistakes);  // found by the fuzzer: out of range for a double
   EXPECT_EQ(mistakes.size(), 1U);
   EXPECT_FALSE(edge::ParseRosterUpdate(R"({"version": 5E5555, "entries": []})"));
 }
--- a/tests/streams_test.cpp
+++ b/tests/streams_test.cpp
@@ -1,4 +1,5 @@
-// Streams of the seam on real loopback sockets: what the virtual ones promise must hold there too.
+// Streams of AsioRuntime on loopback sockets. The contract of core::Stream that the virtual streams fulfil must hold
+// here as well.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -17,7 +18,7 @@
 constexpr std::uint32_t kLoopback = 0x7f000001;
 constexpr TimeUs kSecond = 1'000'000;
 
-struct Sink final : core::StreamHandler {
+struct Handler final : core::StreamHandler {
   void OnOpen() override {
     open = true;
     if (on_open) on_open();
@@ -41,39 +42,39 @@
 
 struct Acceptor final : core::StreamAcceptor {
   core::StreamHandler* OnAccept(std::unique_ptr<core::Stream> stream) override {
-    sinks.push_back(std::make_unique<Sink>());
-    sinks.back()->stream = std::move(stream);
-    if (on_accept) on_accept(*sinks.back());
-    return sinks.back().get();
+    handlers.push_back(std::make_unique<Handler>());
+    handlers.back()->stream = std::move(stream);
+    if (on_accept) on_accept(*handlers.back());
+    return handlers.back().get();
   }
-  std::list<std::unique_ptr<Sink>> sinks;
-  std::function<void(Sink&)> on_accept;
+  std::list<std::unique_ptr<Handler>> handlers;
+  std::function<void(Handler&)> on_accept;
 };
 
 class StreamsTest : public ::testing::Test {
  protected:
-  // Runs until `done` is called by what happens; fails after ten seconds.
+  // Runs until the test calls runtime_.Stop; fails after ten seconds.
   void Run() {
-    const auto net = runtime_.StartTimer(10 * kSecond, [this] {
-      ADD_FAILURE() << "nothing happened";
+    const auto timeout = runtime_.StartTimer(10 * kSecond, [this] {
+      ADD_FAILURE() << "timed out after ten seconds";
       runtime_.Stop();
     });
     runtime_.Run();
-    runtime_.CancelTimer(net);
+    runtime_.CancelTimer(timeout);
   }
   void Listen() { listener_ = runtime_.Listen({kLoopback, 0}, &acceptor_); }
   void Connect() { client_.stream = runtime_.Connect(listener_->Local(), kSecond, &client_); }
 
   AsioRuntime runtime_;
   Acceptor acceptor_;
-  Sink client_;
+  Handler client_;
   std::unique_ptr<core::StreamListener> listener_;
 };
 
-TEST_F(StreamsTest, OctetsPassInOrderBothWaysAndWhatWasWrittenBeforeTheOpeningToo) {
+TEST_F(StreamsTest, DeliversOctetsInOrderIncludingThoseWrittenBeforeOpen) {
   Listen();
-  acceptor_.on_accept = [](Sink& sink) {
-    sink.on_bytes = [&sink] { sink.stream->Write("heard " + std::exchange(sink.text, {})); };
+  acceptor_.on_accept = [](Handler& handler) {
+    handler.on_bytes = [&handler] { handler.stream->Write("heard " + std::exchange(handler.text, {})); };
   };
   client_.on_bytes = [this] { runtime_.Stop(); };
   Connect();
@@ -83,25 +84,25 @@
   EXPECT_EQ(client_.text, "heard early");
 }
 
-TEST_F(StreamsTest, WhereNothingListensTheConnectionIsRefused) {
+TEST_F(StreamsTest, ReportsRefusedWhenNothingListens) {
   Listen();
   const Address address = listener_->Local();
   listener_.reset();
   client_.on_end = [this] { runtime_.Stop(); };
   client_.stream = runtime_.Connect(address, kSecond, &client_);
-  EXPECT_FALSE(client_.end.has_value());  // never from within the call
+  EXPECT_FALSE(client_.end.has_value());  // not reported from within Connect
   Run();
   EXPECT_EQ(client_.end, StreamEnd::kRefused);
   EXPECT_FALSE(client_.open);
 }
 
-TEST_F(StreamsTest, ACloseIsToldAsOneAndWhatCameBeforeItIsRead) {
+TEST_F(StreamsTest, ReportsCloseAfterDeliveringReceivedOctets) {
   Listen();
-  acceptor_.on_accept = [](Sink& sink) {
-    sink.stream->Write("last words");
-    sink.on_bytes = [] {};
+  acceptor_.on_accept = [](Handler& handler) {
+    handler.stream->Write("last words");
+    handler.on_bytes = [] {};
   };
-  client_.on_bytes = [this] { acceptor_.sinks.front()->stream.reset(); };
+  client_.on_bytes = [this] { acceptor_.handlers.front()->stream.reset(); };
   client_.on_end = [this] { runtime_.Stop(); };
   Connect();
   Run();
@@ -109,17 +110,17 @@
   EXPECT_EQ(client_.end, StreamEnd::kClosed);
 }
 
-// A close with octets unread would be a reset by itself, and could take an answer along that the far end has not read
+// Closing a socket with unread octets resets the connection, and the far end could lose an answer that it has not read
 // yet.
-TEST_F(StreamsTest, ACloseWithOctetsUnreadIsInOrderAtTheFarEndAndTheLastAnswerIsRead) {
+TEST_F(StreamsTest, CloseWithUnreadInputDeliversLastAnswerWithoutReset) {
   Listen();
-  acceptor_.on_accept = [this](Sink& sink) {
-    sink.stream->PauseReading(true);
-    runtime_.StartTimer(50'000, [this, &sink] {
-      EXPECT_TRUE(sink.stream->HasUnreadInput());
-      sink.stream->Write("last answer");
-      sink.stream.reset();
-      // What it was told lies unread at the client while the close reaches it.
+  acceptor_.on_accept = [this](Handler& handler) {
+    handler.stream->PauseReading(true);
+    runtime_.StartTimer(50'000, [this, &handler] {
+      EXPECT_TRUE(handler.stream->HasUnreadInput());
+      handler.stream->Write("last answer");
+      handler.stream.reset();
+      // The answer is still unread at the client when the close arrives.
       runtime_.StartTimer(50'000, [this] { client_.stream->PauseReading(false); });
     });
   };
@@ -134,27 +135,27 @@
   EXPECT_EQ(client_.end, StreamEnd::kClosed);
 }
 
-TEST_F(StreamsTest, WhatTheSocketDidNotTakeAtOnceStillGoesOutAfterTheClose) {
+TEST_F(StreamsTest, SendsWriteBufferAfterClose) {
   Listen();
-  constexpr std::size_t kMany = 16U << 20U;
-  acceptor_.on_accept = [](Sink& sink) {
-    sink.on_bytes = [&sink] {
-      sink.stream->Write(std::string(kMany, 'x'));
-      EXPECT_GT(sink.stream->PendingWriteOctets(), 0U);
-      sink.stream.reset();
+  constexpr std::size_t kOctets = 16U << 20U;
+  acceptor_.on_accept = [](Handler& handler) {
+    handler.on_bytes = [&handler] {
+      handler.stream->Write(std::string(kOctets, 'x'));
+      EXPECT_GT(handler.stream->PendingWriteOctets(), 0U);
+      handler.stream.reset();
     };
   };
   client_.on_open = [this] { client_.stream->Write("all of it"); };
   client_.on_end = [this] { runtime_.Stop(); };
   Connect();
   Run();
-  EXPECT_EQ(client_.text.size(), kMany);
+  EXPECT_EQ(client_.text.size(), kOctets);
   EXPECT_EQ(client_.end, StreamEnd::kClosed);
 }
 
-TEST_F(StreamsTest, WhoSendsWithoutEndIsNotReadForEverAfterTheClose) {
+TEST_F(StreamsTest, StopsReadingFromEndlessSenderAfterClose) {
   Listen();
-  acceptor_.on_accept = [](Sink& sink) { sink.on_bytes = [&sink] { sink.stream.reset(); }; };
+  acceptor_.on_accept = [](Handler& handler) { handler.on_bytes = [&handler] { handler.stream.reset(); }; };
   client_.on_open = [this] { client_.stream->Write(std::string(32U << 20U, 'x')); };
   client_.on_end = [this] { runtime_.Stop(); };
   Connect();
@@ -162,36 +163,36 @@
   EXPECT_TRUE(client_.end.has_value());
 }
 
-TEST_F(StreamsTest, ManyClosesAtOnceHoldFewDescriptors) {
+TEST_F(StreamsTest, LimitsLingeringConnections) {
   Listen();
-  std::list<Sink> clients;
+  std::list<Handler> clients;
   std::size_t ended = 0;
   for (int i = 0; i < 40; ++i) {
-    Sink& client = clients.emplace_back();
+    Handler& client = clients.emplace_back();
     client.on_end = [&] {
       client.stream.reset();
       if (++ended == 40) runtime_.Stop();
     };
     client.stream = runtime_.Connect(listener_->Local(), kSecond, &client);
   }
-  acceptor_.on_accept = [&](Sink&) {
-    if (acceptor_.sinks.size() < 40) return;
+  acceptor_.on_accept = [&](Handler&) {
+    if (acceptor_.handlers.size() < 40) return;
     runtime_.StartTimer(0, [&] {
-      for (const auto& sink : acceptor_.sinks) sink->stream.reset();
+      for (const auto& handler : acceptor_.handlers) handler->stream.reset();
     });
   };
   Run();
-  for (const Sink& client : clients) EXPECT_TRUE(client.end.has_value());
+  for (const Handler& client : clients) EXPECT_TRUE(client.end.has_value());
 }
 
-TEST_F(StreamsTest, TheEndOfTheFarSideIsSeenBehindWhatLiesUnread) {
+TEST_F(StreamsTest, DetectsPeerCloseBehindUnreadInput) {
   Listen();
-  acceptor_.on_accept = [this](Sink& sink) {
-    sink.stream->PauseReading(true);
-    runtime_.StartTimer(20'000, [this, &sink] {
-      EXPECT_TRUE(sink.stream->HasUnreadInput());
-      EXPECT_TRUE(sink.stream->PeerClosed());
-      EXPECT_FALSE(sink.end.has_value());
+  acceptor_.on_accept = [this](Handler& handler) {
+    handler.stream->PauseReading(true);
+    runtime_.StartTimer(20'000, [this, &handler] {
+      EXPECT_TRUE(handler.stream->HasUnreadInput());
+      EXPECT_TRUE(handler.stream->PeerClosed());
+      EXPECT_FALSE(handler.end.has_value());
       runtime_.Stop();
     });
   };
@@ -203,11 +204,11 @@
   Run();
 }
 
-TEST_F(StreamsTest, AfterAStandstillWhatCameIsReadBeforeTimersThatFellDueMeanwhile) {
+TEST_F(StreamsTest, ReadsInputBeforeExpiredTimersAfterStall) {
   Listen();
   std::string order;
-  acceptor_.on_accept = [&](Sink& sink) {
-    sink.on_bytes = [&] {
+  acceptor_.on_accept = [&](Handler& handler) {
+    handler.on_bytes = [&] {
       order += 'r';
       if (order.size() == 2) runtime_.Stop();
     };
@@ -227,32 +228,32 @@
   EXPECT_EQ(order, "rt");
 }
 
-TEST_F(StreamsTest, WhatThePeerDoesNotReadWaitsAndGoesOnWhenItDoes) {
+TEST_F(StreamsTest, KeepsWriteBufferUntilPeerReads) {
   Listen();
-  constexpr std::size_t kMany = 32U << 20U;
-  std::size_t heard = 0;
-  acceptor_.on_accept = [&](Sink& sink) {
-    sink.stream->PauseReading(true);
-    sink.on_bytes = [&] {
-      heard += std::exchange(sink.text, {}).size();
-      if (heard == kMany) runtime_.Stop();
+  constexpr std::size_t kOctets = 32U << 20U;
+  std::size_t received = 0;
+  acceptor_.on_accept = [&](Handler& handler) {
+    handler.stream->PauseReading(true);
+    handler.on_bytes = [&] {
+      received += std::exchange(handler.text, {}).size();
+      if (received == kOctets) runtime_.Stop();
     };
     runtime_.StartTimer(100'000, [&] {
       EXPECT_GT(client_.stream->PendingWriteOctets(), 0U);
-      sink.stream->PauseReading(false);
+      handler.stream->PauseReading(false);
     });
   };
-  client_.on_open = [&] { client_.stream->Write(std::string(kMany, 'x')); };
+  client_.on_open = [&] { client_.stream->Write(std::string(kOctets, 'x')); };
   Connect();
   Run();
-  EXPECT_EQ(heard, kMany);
+  EXPECT_EQ(received, kOctets);
   EXPECT_EQ(client_.stream->PendingWriteOctets(), 0U);
-  EXPECT_LE(acceptor_.sinks.front()->largest, core::kMaxStreamRead);
+  EXPECT_LE(acceptor_.handlers.front()->largest, core::kMaxStreamRead);
 }
 
-TEST_F(StreamsTest, AStreamMayBeDestroyedFromWithinItsOwnCalls) {
+TEST_F(StreamsTest, AllowsDestructionFromWithinHandler) {
   Listen();
-  acceptor_.on_accept = [](Sink& sink) { sink.on_bytes = [&sink] { sink.stream.reset(); }; };
+  acceptor_.on_accept = [](Handler& handler) { handler.on_bytes = [&handler] { handler.stream.reset(); }; };
   client_.on_open = [this] { client_.stream->Write("x"); };
   client_.on_end = [this] {
     client_.stream.reset();
