--- a/tests/cli_test.sh
+++ b/tests/cli_test.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# The command line: what it says and the exit code it gives, for good and for bad input.
+# Tests the output and exit codes of the command line for valid and invalid input.
 set -uo pipefail
 cli=$1 root=$2
 work=$(mktemp -d)
@@ -36,7 +36,7 @@
 expect 0 "good settings" "fine" -- "$cli" config check "$work/edge.json"
 expect 0 "settings with defaults" '"answer_margin_ms": 20' -- "$cli" config show "$work/edge.json"
 
-# Flow export: every mistake at once, each with its place.
+# Flow export: all errors are reported at once, each with its JSON path.
 sed 's|"network": {}}|"network": {}, "flow": {"collectors": [\
   {"address": "127.0.0.1:1", "transport": "tls"}, {"address": "x"}, {"address": "127.0.0.1:2", "tls": {"authorities": "a.pem"}},\
   {"address": "127.0.0.1:3", "transport": "tls", "tls": {"authorities": "a.pem", "key": "k.pem"}},\
@@ -50,15 +50,15 @@
 expect 3 "NetFlow over TCP" "/flow/collectors/6/protocol: expected ipfix over tcp" -- "$cli" config check "$work/flow.json"
 expect 3 "no flow file" "cannot read" -- "$cli" flow decode "$work/none.ipfix"
 printf 'not a message at all' >"$work/wrong.ipfix"
-expect 3 "no flow message" "octet 0: " -- "$cli" flow report "$work/wrong.ipfix" --split-ms 1
+expect 3 "not a flow message" "octet 0: " -- "$cli" flow report "$work/wrong.ipfix" --split-ms 1
 : >"$work/empty.ipfix"
 expect 2 "a mark without a text" "expected SECONDS=TEXT" -- "$cli" flow report "$work/empty.ipfix" --svg "$work/x.svg" --mark 15
-expect 4 "a picture nowhere" "cannot write" -- "$cli" flow report "$work/empty.ipfix" --svg "$work/none/x.svg"
+expect 4 "a chart in a missing folder" "cannot write" -- "$cli" flow report "$work/empty.ipfix" --svg "$work/none/x.svg"
 expect 2 "a certificate without its key" "requires --key" -- "$cli" flow decode 127.0.0.1:24799 --certificate "$work/c.pem"
 
 expect 3 "no trace" "cannot read" -- "$cli" verdict "$work/none.jsonl"
 echo '{"t":1,"fact":"relief"}' >"$work/empty.jsonl"
-expect 3 "a trace of nothing" "names no edge" -- "$cli" verdict "$work/empty.jsonl"
+expect 3 "a trace without edges" "names no edge" -- "$cli" verdict "$work/empty.jsonl"
 echo 'not json' >"$work/broken.jsonl"
 expect 3 "a broken trace" "broken.jsonl:1: expected a JSON object" -- "$cli" verdict "$work/broken.jsonl"
 cat >"$work/bad.jsonl" <<'JSON'
@@ -72,17 +72,17 @@
 for text in '"kind": "crash"' '"kind": "circuits-lost"' '"kind": "roster-late"' '"exchanges": 3' '"size": 0.5' '"size": 2500' '"kind": "ageing"' '"kind": "edge-stall"' '"kind": "retry-abuse"'; do
   grep -q -- "$text" "$work/day.json" || { echo "FAILED converted day lacks $text"; failed=1; }
 done
-expect 3 "no day" "not a day file" -- "$cli" day convert "$work/edge.json"
-expect 3 "no scenario" "Missing required property 'fleet'" -- "$cli" lab run "$work/edge.json" --folder "$work/out"
+expect 3 "not a day file" "not a day file" -- "$cli" day convert "$work/edge.json"
+expect 3 "not a scenario" "Missing required property 'fleet'" -- "$cli" lab run "$work/edge.json" --folder "$work/out"
 for name in booking permits jobboard; do
   rules=$root/examples/rules/$name.rules settings=$root/examples/rules/$name.json
   expect 0 "$name: rules check" "fine: " -- "$cli" rules check "$rules" --settings "$settings"
   expect 0 "$name: rules test" "examples hold" -- "$cli" rules test "$rules" --settings "$settings"
 done
 booking=("$root/examples/rules/booking.rules" --settings "$root/examples/rules/booking.json")
-expect 0 "why a rule matches" "so: class = slot-hold, customer = crew-leads, priority = 8" -- "$cli" rules explain "${booking[@]}" \
+expect 0 "explain a match" "so: class = slot-hold, customer = crew-leads, priority = 8" -- "$cli" rules explain "${booking[@]}" \
   --call 'called = "2100", class = slot-hold, line = 410'
-expect 0 "why a rule does not" "no, as this does not hold: line in 400 .. 459" -- "$cli" rules explain "${booking[@]}" \
+expect 0 "explain a mismatch" "no, as this does not hold: line in 400 .. 459" -- "$cli" rules explain "${booking[@]}" \
   --call 'called = "2100", class = slot-hold, line = 9'
 expect 3 "explain with a misspelt attribute" "did you mean 'called'" -- "$cli" rules explain "${booking[@]}" --call 'caled = "2"'
 expect 0 "rules bench" "ns a call" -- "$cli" rules bench "${booking[@]}" --calls 1000
--- a/tests/short_day_test.sh
+++ b/tests/short_day_test.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# A short bad day on real sockets, edges as processes of their own; then the verdict again from the trace file alone, and
-# the flow records as a report.
+# Runs a short scenario with faults on real sockets, with edges as separate processes. Then checks the rules again from the
+# trace file alone and creates a report of the flow records.
 set -euo pipefail
 cli=$1 root=$2
 work=$(mktemp -d)
@@ -10,7 +10,7 @@
 [[ $(head -c 4 "$work/capture.pcap" | od -An -tx1 | tr -d ' ') == d4c3b2a1 ]]
 grep -q '"event":"started"' "$work/edge-0.log"
 grep -q '"stands"' "$work/edge-1.metrics.json"
-# Edge 0 was not killed: what was counted on the sockets, by itself and by the collector is the same.
+# Edge 0 was not killed, so the counts on the sockets, of the edge and of the collector must be equal.
 grep -q "^flows of edge 0: .*they agree$" "$work/report"
 grep -q "^flows of edge 1: .*they agree (it was killed)$" "$work/report"
 "$cli" flow report "$work/flows-0.ipfix" --split-s 5 --svg "$work/shift.svg" --mark "1.5=exchange 2 is gone" --title "short day" --json >"$work/shift.json"
