--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -201,15 +201,18 @@
   // Throws boost::system::system_error if an address cannot be bound.
   DayCollectors(const lab::Scenario& scenario, const std::string& folder) : folder_(folder) {
     for (int i = 0; i < scenario.edges; ++i) {
-      auto& one = collectors_.emplace_back(std::make_unique<One>(lab::CollectorAddress(scenario, i)));
-      one->file.open(folder + "/flows-" + std::to_string(i) + ".ipfix", std::ios::binary | std::ios::trunc);
-      one->collector.OnMessage([one = one.get()](std::string_view message) { one->file << message; });
-      one->collector.StartTcp(lab::Collector::Mode::kRead);
+      auto& edge_collector =
+          collectors_.emplace_back(std::make_unique<EdgeCollector>(lab::CollectorAddress(scenario, i)));
+      edge_collector->file.open(folder + "/flows-" + std::to_string(i) + ".ipfix", std::ios::binary | std::ios::trunc);
+      edge_collector->collector.OnMessage(
+          [edge_collector = edge_collector.get()](std::string_view message) { edge_collector->file << message; });
+      edge_collector->collector.StartTcp(lab::Collector::Mode::kRead);
     }
   }
   // Compares three counts of calls and set-ups: those seen on the sockets, those reported by the softswitch and those
-  // received by the collector. Sets `*agree` if they are equal for every edge. The own count of an edge that was killed
-  // covers only its last incarnation, and the collector may lack the records that were not sent before the kill.
+  // received by the collector. Sets `*agree` if they are equal for every edge and no record was dropped. For an edge
+  // that was killed, only bounds are checked: its own count covers only its last incarnation, and the collector lacks
+  // the records that were not sent before the kill.
   nlohmann::json Compare(const lab::RuleChecker& rules, const lab::Scenario& scenario, bool* agree) {
     std::set<int> killed;
     for (const lab::Fault& fault : scenario.faults) {
@@ -219,9 +222,9 @@
     nlohmann::json results = nlohmann::json::array();
     *agree = true;
     for (std::size_t i = 0; i < collectors_.size(); ++i) {
-      One& one = *collectors_[i];
-      one.collector.Stop();
-      one.file.close();
+      EdgeCollector& edge_collector = *collectors_[i];
+      edge_collector.collector.Stop();
+      edge_collector.file.close();
       const int number = static_cast<int>(i);
       std::ifstream metrics_file(folder_ + "/edge-" + std::to_string(i) + ".metrics.json");
       const nlohmann::json metrics = nlohmann::json::parse(metrics_file, nullptr, false);
@@ -233,12 +236,12 @@
       // Attempts without a free circuit are counted by the edge but never appear on the sockets.
       const nlohmann::json core =
           metrics.is_object() ? metrics.value("calls", nlohmann::json::object()) : nlohmann::json::object();
-      // Seizures in glare with one of the edge's own were rejected, so the edge does not count them as calls.
+      // Seizures rejected because of glare, or on circuits out of service, are not counted as calls by the edge.
       const std::uint64_t glare =
           core.value("glare", std::uint64_t{0}) + core.value("not_in_service", std::uint64_t{0});
       const std::uint64_t own_calls = own.value("calls", std::uint64_t{0});
       const std::uint64_t own_set_ups = core.value("attempts", std::uint64_t{0}) - core.value("moot", std::uint64_t{0});
-      const std::uint64_t calls = one.collector.calls, set_ups = one.collector.set_ups;
+      const std::uint64_t calls = edge_collector.collector.calls, set_ups = edge_collector.collector.set_ups;
       const bool same = killed.count(number) > 0
                             ? calls <= on_sockets.calls && set_ups <= on_sockets.set_ups && calls >= own_calls
                             : calls + glare == on_sockets.calls && set_ups == on_sockets.set_ups &&
@@ -251,19 +254,21 @@
            {"sockets", {{"calls", on_sockets.calls}, {"set_ups", on_sockets.set_ups}}},
            {"own", {{"calls", own_calls}, {"glare", glare}, {"set_ups", own_set_ups}, {"dropped", dropped}}},
            {"received",
-            {{"calls", calls}, {"set_ups", set_ups}, {"possibly_repeated", one.collector.possibly_repeated.load()}}}});
+            {{"calls", calls},
+             {"set_ups", set_ups},
+             {"possibly_repeated", edge_collector.collector.possibly_repeated.load()}}}});
     }
     return results;
   }
 
  private:
-  struct One {
-    explicit One(const core::Address& address) : collector(address) {}
+  struct EdgeCollector {
+    explicit EdgeCollector(const core::Address& address) : collector(address) {}
     lab::Collector collector;
     std::ofstream file;
   };
   std::string folder_;
-  std::vector<std::unique_ptr<One>> collectors_;
+  std::vector<std::unique_ptr<EdgeCollector>> collectors_;
 };
 
 }  // namespace
@@ -294,11 +299,11 @@
   lab::Day day(scenario, &runtime, &trace, &edges, options.folder);
   const bool progress = !options.quiet && ::isatty(STDERR_FILENO) == 1;
   core::Timer tick(&runtime);
-  const std::function<void()> show = [&] {
+  const std::function<void()> show_progress = [&] {
     std::fprintf(stderr, "\r%s: %3.0f%%", scenario.name.c_str(), 100.0 * day.Progress());
-    tick.Start(500'000, show);
+    tick.Start(500'000, show_progress);
   };
-  if (progress) show();
+  if (progress) show_progress();
   day.Begin([&] { runtime.Stop(); });
   runtime.Run();
   tick.Stop();
--- a/src/cli/load.cpp
+++ b/src/cli/load.cpp
@@ -86,9 +86,9 @@
   boost::system::error_code error;
   std::uint64_t sent = 0;
   while (!stop.stop_requested()) {
-    const double passed = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
-    if (passed > options.seconds + 30.0) break;
-    const auto due = static_cast<std::uint64_t>(passed * options.stray_datagrams_per_s);
+    const double elapsed_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
+    if (elapsed_s > options.seconds + 30.0) break;
+    const auto due = static_cast<std::uint64_t>(elapsed_s * options.stray_datagrams_per_s);
     for (; sent < due; ++sent) {
       const std::string text = "NTFY " + std::to_string(sent % 999'999'999 + 1) + " aaln/" +
                                std::to_string(sent % 500 + 1) +
@@ -208,8 +208,9 @@
   load.calls_per_s = options.calls_per_s;
   load.hold_us = static_cast<TimeUs>(options.hold_ms) * 1000;
   load.length_us = static_cast<TimeUs>(options.seconds) * 1'000'000;
-  const double busy = options.calls_per_s * (options.hold_ms / 1000.0 + 0.5);
-  load.lines = options.lines > 0 ? options.lines : std::clamp(static_cast<int>(busy * 1.3) + 100, 100, 100'000);
+  const double concurrent_calls = options.calls_per_s * (options.hold_ms / 1000.0 + 0.5);
+  load.lines =
+      options.lines > 0 ? options.lines : std::clamp(static_cast<int>(concurrent_calls * 1.3) + 100, 100, 100'000);
   const auto circuits = static_cast<std::size_t>(std::min(65'000, load.lines));
 
   EchoFigures echo;
@@ -245,14 +246,14 @@
       }
     });
   }
-  std::atomic<std::int64_t> back_at{0};
+  std::atomic<std::int64_t> restored_at_us{0};
   std::jthread outage;
   if (options.flow == "outage") {
     outage = std::jthread([&] {
       std::this_thread::sleep_for(std::chrono::milliseconds(options.seconds * 250));
       collector.Stop();
       std::this_thread::sleep_for(std::chrono::seconds(options.outage_s));
-      back_at =
+      restored_at_us =
           std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now().time_since_epoch())
               .count();
       collector.StartTcp(lab::Collector::Mode::kRead);
@@ -281,10 +282,10 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(options.flow.empty() ? 0 : 200));
   collector.Stop();
   const double cpu = peak.usage.cpu_s - before.cpu_s;
-  const double done = static_cast<double>(f.answered + f.refused + f.failed);
+  const double completed_calls = static_cast<double>(f.answered + f.refused + f.failed);
   const double datagrams = static_cast<double>(f.datagrams_in + f.datagrams_out);
-  const double per_call = done > 0.0 ? datagrams / done : 0.0;
-  const double calls_per_cpu_s = cpu > 0.0 ? done / cpu : 0.0;
+  const double per_call = completed_calls > 0.0 ? datagrams / completed_calls : 0.0;
+  const double calls_per_cpu_s = cpu > 0.0 ? completed_calls / cpu : 0.0;
   const double bytes = f.most_up > 0 ? (peak.usage.resident - before.resident) / static_cast<double>(f.most_up) : 0.0;
   nlohmann::json json = {
       {"asked_calls_per_s", options.calls_per_s},
@@ -297,7 +298,7 @@
       {"no_line", f.no_line},
       {"repeats", f.repeats},
       {"rejected", f.rejected},
-      {"calls_per_s", done / std::max(0.001, f.seconds)},
+      {"calls_per_s", completed_calls / std::max(0.001, f.seconds)},
       {"edge_cpu_share", cpu / std::max(0.001, f.seconds)},
       {"calls_per_cpu_s", calls_per_cpu_s},
       {"datagrams_per_call", per_call},
@@ -316,7 +317,8 @@
       {"flow_attempts", collector.attempts.load()},
       {"flow_spooled", collector.spooled.load()},
       {"flow_possibly_repeated", collector.possibly_repeated.load()},
-      {"flow_recovered_s", back_at > 0 ? static_cast<double>(collector.last_old_us - back_at) / 1e6 : 0.0},
+      {"flow_recovered_s",
+       restored_at_us > 0 ? static_cast<double>(collector.last_old_us - restored_at_us) / 1e6 : 0.0},
       {"reloads", reloads},
       {"strangers_sent", stray_datagrams_sent},
       {"edge_exited_clean", clean}};
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -31,7 +31,7 @@
   Value(fleet, "far_us", &s->far_us);
   Time(fleet, "roster_lag_ms", &s->roster_lag_us);
   Value(fleet, "octet", &s->octet);
-  Value(fleet, "most_calls", &s->most_calls);
+  Value(fleet, "most_calls", &s->max_calls);
   if (fleet.contains("unlinked")) {
     for (const json& pair : fleet.at("unlinked"))
       s->unlinked.emplace_back(std::min(pair[0].get<int>(), pair[1].get<int>()),
@@ -137,10 +137,10 @@
     const json& rules = file.at("rules");
     Time(rules, "release_ms", &s.release_us);
     Time(rules, "drain_grace_ms", &s.drain_grace_us);
-    Value(rules, "most_attempts", &s.most_attempts);
+    Value(rules, "most_attempts", &s.max_attempts);
     Value(rules, "may_probe", &s.may_probe);
-    Value(rules, "honours_pause", &s.honours_pause);
-    Time(rules, "longest_pause_ms", &s.longest_pause_us);
+    Value(rules, "honours_pause", &s.honours_retry_after);
+    Time(rules, "longest_pause_ms", &s.max_retry_after_us);
   }
   ReadTraffic(file.at("traffic"), &s);
   Value(file, "edge_rules", &s.edge_rules);
@@ -211,7 +211,7 @@
   json file;
   file["exchange"] = {{"number", number}, {"zone", s.ZoneOf(number)}};
   file["agent"] = {{"listen", core::ToString(EdgeAddress(s, number))},
-                   {"most_calls", s.most_calls},
+                   {"most_calls", s.max_calls},
                    {"answer_margin_ms", 50},
                    {"seed", s.seed * 1000 + static_cast<std::uint64_t>(number)}};
   file["gateway"] = {{"address", core::ToString(GatewayAddress(s, number))}, {"domain", DomainOf(number)}};
@@ -243,11 +243,11 @@
                      {"warm_up_ms", (s.stated_warm_up_us > 0 ? s.stated_warm_up_us : s.processor.warm_up_us) / kMs},
                      {"fall_multiple", s.processor.fall_multiple},
                      {"fall_ms", s.processor.fall_us / kMs},
-                     {"most_attempts", s.most_attempts},
+                     {"most_attempts", s.max_attempts},
                      {"may_cancel", true},
                      {"may_probe", s.may_probe},
-                     {"honours_pause", s.honours_pause},
-                     {"longest_pause_ms", s.longest_pause_us / kMs},
+                     {"honours_pause", s.honours_retry_after},
+                     {"longest_pause_ms", s.max_retry_after_us / kMs},
                      {"tells_wait", s.processor.tells_wait}};
   if (!s.processor.reports.empty()) file["network"]["reports"] = json::array({s.processor.reports});
   if (!s.edge_rules.empty()) file["rules"] = s.edge_rules;
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -56,14 +56,14 @@
   TimeUs near_us = 200, far_us = 8'000;
   TimeUs roster_lag_us = 1'000'000;
   int octet = 10;
-  std::size_t most_calls = 20'000;
+  std::size_t max_calls = 20'000;
   ProcessorSettings processor;
   double stated_cold_from = 0.0;  // value given to the edges; 0: the actual one
   TimeUs stated_warm_up_us = 0;
   TimeUs release_us = 300'000, drain_grace_us = 500'000;
-  int most_attempts = 4;
-  bool may_probe = false, honours_pause = false;
-  TimeUs longest_pause_us = 2'000'000;
+  int max_attempts = 4;
+  bool may_probe = false, honours_retry_after = false;
+  TimeUs max_retry_after_us = 2'000'000;
   double calls_per_s = 10.0;
   std::vector<TrafficClass> classes;
   std::vector<std::string> edge_rules;
