--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -31,7 +31,7 @@
   Value(fleet, "far_us", &s->far_us);
   Time(fleet, "roster_lag_ms", &s->roster_lag_us);
   Value(fleet, "octet", &s->octet);
-  Value(fleet, "most_calls", &s->most_calls);
+  Value(fleet, "most_calls", &s->max_calls);
   if (fleet.contains("unlinked")) {
     for (const json& pair : fleet.at("unlinked"))
       s->unlinked.emplace_back(std::min(pair[0].get<int>(), pair[1].get<int>()),
@@ -109,6 +109,7 @@
   return fault;
 }
 
+// Spreads the exchanges over the last two octets, 250 to each value of the third.
 core::Address AddressOf(int octet, int number, std::uint16_t port) {
   const auto n = static_cast<std::uint32_t>(number);
   return {127U << 24U | static_cast<std::uint32_t>(octet) << 16U | (n / 250U) << 8U | (n % 250U + 1U), port};
@@ -136,40 +137,40 @@
     const json& rules = file.at("rules");
     Time(rules, "release_ms", &s.release_us);
     Time(rules, "drain_grace_ms", &s.drain_grace_us);
-    Value(rules, "most_attempts", &s.most_attempts);
+    Value(rules, "most_attempts", &s.max_attempts);
     Value(rules, "may_probe", &s.may_probe);
-    Value(rules, "honours_pause", &s.honours_pause);
-    Time(rules, "longest_pause_ms", &s.longest_pause_us);
+    Value(rules, "honours_pause", &s.honours_retry_after);
+    Time(rules, "longest_pause_ms", &s.max_retry_after_us);
   }
   ReadTraffic(file.at("traffic"), &s);
   Value(file, "edge_rules", &s.edge_rules);
   if (file.contains("edge_door")) s.edge_admission = file.at("edge_door");
   if (s.edges > s.exchanges)
-    mistakes->push_back({"/fleet/edges", "expected at most as many as exchanges (" + std::to_string(s.exchanges) +
+    mistakes->push_back({"/fleet/edges", "expected at most the number of exchanges (" + std::to_string(s.exchanges) +
                                              "), found " + std::to_string(s.edges)});
-  const auto one_each = [&](const char* path, std::size_t found) {
+  const auto expect_one_per_exchange = [&](const char* path, std::size_t found) {
     if (found != 0 && found != static_cast<std::size_t>(s.exchanges))
-      mistakes->push_back({path, "expected one for each of " + std::to_string(s.exchanges) + " exchanges, found " +
-                                     std::to_string(found)});
+      mistakes->push_back({path, "expected one entry for each of " + std::to_string(s.exchanges) +
+                                     " exchanges, found " + std::to_string(found)});
   };
-  one_each("/fleet/zone_of", s.zone_of.size());
-  one_each("/processor/speed_of", s.processor.speed_of.size());
-  one_each("/traffic/between", s.between.size());
+  expect_one_per_exchange("/fleet/zone_of", s.zone_of.size());
+  expect_one_per_exchange("/processor/speed_of", s.processor.speed_of.size());
+  expect_one_per_exchange("/traffic/between", s.between.size());
   for (std::size_t row = 0; row < s.between.size(); ++row) {
-    one_each(("/traffic/between/" + std::to_string(row)).c_str(), s.between[row].size());
+    expect_one_per_exchange(("/traffic/between/" + std::to_string(row)).c_str(), s.between[row].size());
     if (s.between[row].empty())
-      mistakes->push_back(
-          {"/traffic/between/" + std::to_string(row), "expected a figure for each exchange, found none"});
+      mistakes->push_back({"/traffic/between/" + std::to_string(row), "expected one number per exchange, found none"});
   }
   for (const int zone : s.zone_of) {
     if (zone >= s.zones)
       mistakes->push_back(
-          {"/fleet/zone_of", "expected zones under " + std::to_string(s.zones) + ", found " + std::to_string(zone)});
+          {"/fleet/zone_of", "expected zones below " + std::to_string(s.zones) + ", found " + std::to_string(zone)});
   }
   for (const auto& [pair, circuits] : s.groups) {
     if (pair.second >= s.exchanges || pair.first == pair.second)
-      mistakes->push_back({"/fleet/groups", "expected two exchanges under " + std::to_string(s.exchanges) + ", found " +
-                                                std::to_string(pair.first) + " and " + std::to_string(pair.second)});
+      mistakes->push_back({"/fleet/groups", "expected two different exchanges below " + std::to_string(s.exchanges) +
+                                                ", found " + std::to_string(pair.first) + " and " +
+                                                std::to_string(pair.second)});
   }
   if (file.contains("faults")) {
     std::size_t index = 0;
@@ -179,7 +180,7 @@
         if (exchange >= s.exchanges)
           mistakes->push_back(
               {"/faults/" + std::to_string(index) + "/exchanges",
-               "expected an exchange under " + std::to_string(s.exchanges) + ", found " + std::to_string(exchange)});
+               "expected an exchange below " + std::to_string(s.exchanges) + ", found " + std::to_string(exchange)});
       }
       ++index;
     }
@@ -210,7 +211,7 @@
   json file;
   file["exchange"] = {{"number", number}, {"zone", s.ZoneOf(number)}};
   file["agent"] = {{"listen", core::ToString(EdgeAddress(s, number))},
-                   {"most_calls", s.most_calls},
+                   {"most_calls", s.max_calls},
                    {"answer_margin_ms", 50},
                    {"seed", s.seed * 1000 + static_cast<std::uint64_t>(number)}};
   file["gateway"] = {{"address", core::ToString(GatewayAddress(s, number))}, {"domain", DomainOf(number)}};
@@ -242,11 +243,11 @@
                      {"warm_up_ms", (s.stated_warm_up_us > 0 ? s.stated_warm_up_us : s.processor.warm_up_us) / kMs},
                      {"fall_multiple", s.processor.fall_multiple},
                      {"fall_ms", s.processor.fall_us / kMs},
-                     {"most_attempts", s.most_attempts},
+                     {"most_attempts", s.max_attempts},
                      {"may_cancel", true},
                      {"may_probe", s.may_probe},
-                     {"honours_pause", s.honours_pause},
-                     {"longest_pause_ms", s.longest_pause_us / kMs},
+                     {"honours_pause", s.honours_retry_after},
+                     {"longest_pause_ms", s.max_retry_after_us / kMs},
                      {"tells_wait", s.processor.tells_wait}};
   if (!s.processor.reports.empty()) file["network"]["reports"] = json::array({s.processor.reports});
   if (!s.edge_rules.empty()) file["rules"] = s.edge_rules;
@@ -258,7 +259,7 @@
                        {"transport", "tcp"},
                        {"spool", {{"folder", spool}}}}}}};
   }
-  // The lab's machine is not the network that T-HIST was made for: answers are kept for a shorter time.
+  // On loopback, responses need not be kept as long as T-HIST assumes for a real network.
   file["transactions"] = {{"history_ms", 10'000}, {"give_up_ms", 8'000}};
   file["log"] = {{"level", "info"}, {"file", log_file}};
   return file.dump(1);
