--- a/bench/admission_bench.cpp
+++ b/bench/admission_bench.cpp
@@ -12,8 +12,8 @@
 
 void AdmitCall(benchmark::State& state) {
   AdmissionSettings settings;
-  settings.limiter.first = 64.0;
-  settings.longest_pause_us = 2'000'000;
+  settings.limiter.initial_limit = 64.0;
+  settings.max_retry_after_us = 2'000'000;
   settings.customers = {{}, {}};
   AdmissionController controller(settings);
   const auto identities = static_cast<std::uint64_t>(state.range(0));
--- a/bench/expr_bench.cpp
+++ b/bench/expr_bench.cpp
@@ -55,7 +55,7 @@
 }
 
 void BM_Rules(benchmark::State& state) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   const auto set = CompileRules(RuleText(static_cast<int>(state.range(0))), CallSchema(), {}, &errors);
   const auto numbers = CalledNumbers(static_cast<int>(state.range(0)));
   const auto inputs = MakeInputs(numbers);
@@ -103,7 +103,7 @@
 BENCHMARK(BM_ByHand)->Arg(1)->Arg(10)->Arg(100)->Arg(1'000)->Arg(10'000);
 
 void BM_OneExpression(benchmark::State& state) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   const auto program =
       CompileExpression("called starts_with \"10000\" and class == slot-hold and (line default 0 > 3 or patience < 2s)",
                         CallSchema(), {}, &errors);
@@ -125,16 +125,16 @@
 void BM_Load(benchmark::State& state) {
   const std::string text = RuleText(static_cast<int>(state.range(0)));
   for (auto _ : state) {
-    std::vector<Mistake> errors;
+    std::vector<Diagnostic> errors;
     benchmark::DoNotOptimize(CompileRules(text, CallSchema(), {}, &errors));
   }
 }
 BENCHMARK(BM_Load)->Arg(1'000)->Arg(10'000)->Unit(benchmark::kMillisecond);
 
 void BM_Report(benchmark::State& state) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   const auto set = CompileRules(RuleText(static_cast<int>(state.range(0))), CallSchema(), {}, &errors);
-  for (auto _ : state) benchmark::DoNotOptimize(set->Report(false, 60'000'000));
+  for (auto _ : state) benchmark::DoNotOptimize(set->FindIssues(false, 60'000'000));
 }
 BENCHMARK(BM_Report)->Arg(1'000)->Unit(benchmark::kMillisecond);
 
--- a/bench/flow_bench.cpp
+++ b/bench/flow_bench.cpp
@@ -105,7 +105,7 @@
   Decoder decoder;
   for (auto _ : state) {
     for (const std::string& message : messages)
-      decoder.Message(
+      decoder.DecodeMessage(
           message, [&](const DecodedRecord&) { ++calls; }, nullptr);
   }
   benchmark::DoNotOptimize(calls);
--- a/fuzz/flow_fuzz.cpp
+++ b/fuzz/flow_fuzz.cpp
@@ -7,15 +7,15 @@
   Decoder decoder;
   const auto read_fields = [](const DecodedRecord& record) {
     for (const DecodedField& field : record.fields) ReadBasicList(field.octets);
-    record.Number(Source::kCall);
-    record.Text(Source::kCalled);
+    record.Number(FieldId::kCall);
+    record.Text(FieldId::kCalled);
   };
   std::string error;
-  decoder.Message(rest, read_fields, &error);
+  decoder.DecodeMessage(rest, read_fields, &error);
   while (!rest.empty()) {
-    const std::size_t length = Decoder::LengthOfNext(rest);
+    const std::size_t length = Decoder::NextMessageLength(rest);
     if (length <= 1 || length > rest.size()) break;
-    decoder.Message(rest.substr(0, length), read_fields, &error);
+    decoder.DecodeMessage(rest.substr(0, length), read_fields, &error);
     rest.remove_prefix(length);
   }
   return 0;
--- a/fuzz/rules_fuzz.cpp
+++ b/fuzz/rules_fuzz.cpp
@@ -22,7 +22,7 @@
   offer.called = "2100200017";
   offer.calling = "aaln/310";
   croftrun::expr::Input input;
-  croftrun::edge::Classifier::Fill(offer, {310, 0x7f000001, 0.5}, &input);
+  croftrun::edge::Classifier::FillInput(offer, {310, 0x7f000001, 0.5}, &input);
   return input;
 }
 
@@ -45,7 +45,7 @@
     RunByteCode(data + 1, size - 1);
     return 0;
   }
-  std::vector<croftrun::expr::Mistake> errors;
+  std::vector<croftrun::expr::Diagnostic> errors;
   croftrun::expr::Limits limits;
   limits.max_counter_keys = 4096;
   const auto rules =
@@ -55,12 +55,12 @@
   croftrun::expr::RuleState state(*rules, 1);
   for (int call = 0; call < 3; ++call) {
     auto input = SampleCall();
-    rules->Extend(&input, {static_cast<std::uint64_t>(call) * 1'000'000, 1'796'000'000'000'000}, &state);
+    rules->AddDerivedInputs(&input, {static_cast<std::uint64_t>(call) * 1'000'000, 1'796'000'000'000'000}, &state);
     std::uint64_t steps = 0;
     croftrun::expr::Outcome outcome;
     rules->Apply(input, &outcome, &steps);
     if (steps > rules->cost_bound) std::abort();
   }
-  rules->Report(true, 10'000);
+  rules->FindIssues(true, 10'000);
   return 0;
 }
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -21,11 +21,11 @@
       limiter_(settings.limiter),
       clients_(settings.clients),
       reservations_(settings.reservations),
-      queue_(settings.most_waiting, Weights(settings.customers)),
-      reserved_queue_(settings.most_waiting, Weights(settings.customers)),
+      queue_(settings.max_queued, Weights(settings.customers)),
+      reserved_queue_(settings.max_queued, Weights(settings.customers)),
       customer_buckets_(settings.customers.size()),
       random_state_(settings.secret | 1U) {
-  total_bucket_.tokens = settings.all.burst;
+  total_bucket_.tokens = settings.total_limit.burst;
   for (std::size_t i = 0; i < customer_buckets_.size(); ++i)
     customer_buckets_[i].tokens = settings.customers[i].limit.burst;
 }
@@ -67,20 +67,21 @@
   ++counters_.refused;
   TimeUs retry_after = 0;
   bool has_reservation = false;
-  if (settings_.longest_pause_us > 0) {
+  if (settings_.max_retry_after_us > 0) {
     // The retry comes after the calls queued now have been served, and each slot takes a share of what the limit
     // admits in that time.
     const double rate = std::max(1.0, limiter_.calls_per_s());
     const TimeUs queue_delay = static_cast<TimeUs>(static_cast<double>(waiting()) / rate * 1e6);
     const double per_slot = rate * static_cast<double>(settings_.reservations.slot_us) / 1e6 *
                             (queued.unverified ? settings_.unverified_share : settings_.reserved_share);
-    const auto at = reservations_.Reserve(queued.reservation_key, now + std::max(settings_.least_pause_us, queue_delay),
-                                          now + settings_.longest_pause_us, per_slot, Random(), now);
-    if (at) ++counters_.promised;
+    const auto at =
+        reservations_.Reserve(queued.reservation_key, now + std::max(settings_.min_retry_after_us, queue_delay),
+                              now + settings_.max_retry_after_us, per_slot, Random(), now);
+    if (at) ++counters_.reserved;
     // Without a free slot, the caller is kept away for 50 to 100 percent of the maximum retry-after.
     has_reservation = at.has_value();
-    retry_after =
-        at ? *at - now : static_cast<TimeUs>(static_cast<double>(settings_.longest_pause_us) * (0.5 + Random() / 2.0));
+    retry_after = at ? *at - now
+                     : static_cast<TimeUs>(static_cast<double>(settings_.max_retry_after_us) * (0.5 + Random() / 2.0));
   }
   decisions->push_back({queued.call, false, retry_after, has_reservation});
 }
@@ -108,7 +109,7 @@
   }
   const bool as_instructed = arrival == RetryReservations::ArrivalKind::kAsInstructed;
   if (as_instructed) {
-    ++counters_.as_told;
+    ++counters_.as_instructed;
     client.verified = true;
     queued.unverified = false;
   }
@@ -116,13 +117,13 @@
   const bool within_limits = (as_instructed || queued.unverified || clients_.TakeToken(client, now)) &&
                              (request.customer < 0 || customer >= customer_buckets_.size() ||
                               customer_buckets_[customer].TryConsume(settings_.customers[customer].limit, now)) &&
-                             total_bucket_.TryConsume(settings_.all, now);
+                             total_bucket_.TryConsume(settings_.total_limit, now);
   if (!within_limits) {
     ++counters_.over_limit;
     return Refuse(queued, now, decisions);
   }
   if (waiting() == 0 && in_set_up_.size() < limiter_.limit()) {
-    counters_.as_told_admitted += as_instructed ? 1 : 0;
+    counters_.as_instructed_admitted += as_instructed ? 1 : 0;
     return Admit(queued, now, decisions);
   }
   // A call that cannot be answered in time is rejected at once instead of being queued until its deadline.
@@ -130,17 +131,17 @@
   const TimeUs queue_delay =
       static_cast<TimeUs>(static_cast<double>(as_instructed ? reserved_queue_.size() : 0) / rate * 1e6);
   if (now + queue_delay >= queued.deadline) {
-    ++counters_.overdue;
+    ++counters_.expired;
     return Refuse(queued, now, decisions);
   }
-  ++counters_.waited;
+  ++counters_.queued;
   auto evicted =
       (as_instructed ? reserved_queue_ : queue_).Push(queued, queued.unverified ? kUnverifiedFlow : client_id);
   // The bound applies to both queues together; calls that arrived as instructed are evicted last.
-  if (!evicted && waiting() > settings_.most_waiting)
+  if (!evicted && waiting() > settings_.max_queued)
     evicted = queue_.size() > 0 ? queue_.EvictNewest() : reserved_queue_.EvictNewest();
   if (evicted) {
-    ++counters_.gave_way;
+    ++counters_.evicted;
     Refuse(*evicted, now, decisions);
   }
   AdmitQueued(now, decisions);
@@ -150,7 +151,7 @@
   OnTimer(now, decisions);
   while (in_set_up_.size() < limiter_.limit()) {
     auto next = reserved_queue_.Pop();
-    counters_.as_told_admitted += next ? 1 : 0;
+    counters_.as_instructed_admitted += next ? 1 : 0;
     if (!next) next = queue_.Pop();
     if (!next) return;
     Admit(*next, now, decisions);
@@ -183,13 +184,13 @@
 void AdmissionController::OnTimer(TimeUs now, std::vector<AdmissionDecision>* decisions) {
   for (FairQueue* queue : {&reserved_queue_, &queue_}) {
     while (const auto expired = queue->PopExpired(now)) {
-      ++counters_.overdue;
+      ++counters_.expired;
       Refuse(*expired, now, decisions);
     }
   }
 }
 
-std::optional<TimeUs> AdmissionController::NextAt() const {
+std::optional<TimeUs> AdmissionController::NextExpiry() const {
   const auto reserved_expiry = reserved_queue_.NextExpiry(), queue_expiry = queue_.NextExpiry();
   if (!reserved_expiry || !queue_expiry) return reserved_expiry ? reserved_expiry : queue_expiry;
   return std::min(*reserved_expiry, *queue_expiry);
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -29,15 +29,15 @@
   ConcurrencyLimiterSettings limiter;
   ClientSettings clients;
   RetryReservationSettings reservations;
-  std::size_t most_waiting = 1024;  // queued calls
+  std::size_t max_queued = 1024;  // queued calls
   std::vector<CustomerSettings> customers;
-  TokenBucketSettings all;  // of all calls together
+  TokenBucketSettings total_limit;  // of all calls together
   // The part of a slot's calls that may be reserved for retries, and the part up to which an unverified client may
   // still reserve.
   double reserved_share = 0.8, unverified_share = 0.3;
-  TimeUs least_pause_us = 500'000;  // minimum retry-after
-  TimeUs longest_pause_us = 0;      // maximum retry-after that the site allows; 0: no retry-after is given
-  std::uint64_t secret = 1;         // hash seed; a client that does not know it cannot aim at a place in a table
+  TimeUs min_retry_after_us = 500'000;  // minimum retry-after
+  TimeUs max_retry_after_us = 0;        // maximum retry-after that the site allows; 0: no retry-after is given
+  std::uint64_t secret = 1;             // hash seed; a client that does not know it cannot aim at a place in a table
 };
 
 struct AdmissionRequest {
@@ -52,16 +52,16 @@
 struct AdmissionDecision {
   CallId call = 0;
   bool admitted = false;
-  TimeUs pause_us = 0;           // retry-after of a rejected call; 0: none given
+  TimeUs retry_after_us = 0;     // retry-after of a rejected call; 0: none given
   bool has_reservation = false;  // capacity is reserved at that time; false: no slot was left to reserve
 };
 
 class AdmissionController {
  public:
   struct Counters {
-    std::uint64_t requests = 0, admitted = 0, waited = 0, refused = 0, early = 0, overdue = 0, gave_way = 0,
+    std::uint64_t requests = 0, admitted = 0, queued = 0, refused = 0, early = 0, expired = 0, evicted = 0,
                   over_limit = 0;
-    std::uint64_t promised = 0, as_told = 0, as_told_admitted = 0;
+    std::uint64_t reserved = 0, as_instructed = 0, as_instructed_admitted = 0;
   };
 
   explicit AdmissionController(const AdmissionSettings& settings);
@@ -76,16 +76,16 @@
   void OnAbandoned(CallId call, TimeUs now, std::vector<AdmissionDecision>* decisions);
   // Rejects all queued calls, without a retry-after because nothing is known about the service at that time.
   void Close(std::vector<AdmissionDecision>* decisions);
-  // Rejects queued calls that can no longer be answered in time. Has to be called at the time NextAt() returns.
+  // Rejects queued calls that can no longer be answered in time. Has to be called at the time NextExpiry() returns.
   void OnTimer(TimeUs now, std::vector<AdmissionDecision>* decisions);
-  std::optional<TimeUs> NextAt() const;
+  std::optional<TimeUs> NextExpiry() const;
   // Sets weights and limits, with effect from the next round-robin turn.
   void SetCustomers(const std::vector<CustomerSettings>& customers);
 
   std::size_t waiting() const { return queue_.size() + reserved_queue_.size(); }
-  std::size_t under_way() const { return in_set_up_.size(); }
+  std::size_t in_set_up() const { return in_set_up_.size(); }
   std::size_t limit() const { return limiter_.limit(); }
-  // Octets of the client and reservation tables, which never grow. The queues hold `most_waiting` calls at most.
+  // Octets of the client and reservation tables, which never grow. The queues hold `max_queued` calls at most.
   std::size_t table_bytes() const { return clients_.bytes() + reservations_.bytes(); }
   const Counters& counters() const { return counters_; }
 
--- a/src/admission/client_table.h
+++ b/src/admission/client_table.h
@@ -19,7 +19,7 @@
 namespace croftrun::admission {
 
 struct ClientSettings {
-  std::size_t most = 16'384;                // clients in the table
+  std::size_t max_clients = 16'384;         // clients in the table
   TimeUs verify_us = 10'000'000;            // a client that calls this long after it was first served is verified
   TimeUs forget_us = 600'000'000;           // a client not seen for longer than this is unverified again
   TokenBucketSettings limit = {0.0, 10.0};  // of each verified client
@@ -35,7 +35,7 @@
   };
 
   explicit ClientTable(const ClientSettings& settings)
-      : settings_(settings), sets_(std::bit_ceil(std::max<std::size_t>(1, settings.most / kWays))) {}
+      : settings_(settings), sets_(std::bit_ceil(std::max<std::size_t>(1, settings.max_clients / kWays))) {}
 
   // Returns the client's entry and marks it as seen now. The reference is valid until the next call.
   Client& FindOrInsert(std::uint64_t id, TimeUs now) {
--- a/src/admission/concurrency_limiter.h
+++ b/src/admission/concurrency_limiter.h
@@ -13,16 +13,16 @@
 namespace croftrun::admission {
 
 struct ConcurrencyLimiterSettings {
-  double least = 8.0, most = 4096.0, first = 64.0;  // minimum, maximum and initial limit
-  double queueing_threshold = 2.0;                  // a mean delay above this multiple of the minimum indicates a queue
-  TimeUs interval_us = 100'000;                     // between two adjustments of the limit
-  TimeUs min_delay_lifetime_us = 30'000'000;        // the minimum delay is measured anew after this time
+  double min_limit = 8.0, max_limit = 4096.0, initial_limit = 64.0;
+  double queueing_threshold = 2.0;            // a mean delay above this multiple of the minimum indicates a queue
+  TimeUs interval_us = 100'000;               // between two adjustments of the limit
+  TimeUs min_delay_lifetime_us = 30'000'000;  // the minimum delay is measured anew after this time
 };
 
 class ConcurrencyLimiter {
  public:
   explicit ConcurrencyLimiter(const ConcurrencyLimiterSettings& settings)
-      : settings_(settings), limit_(settings.first) {}
+      : settings_(settings), limit_(settings.initial_limit) {}
 
   std::size_t limit() const { return static_cast<std::size_t>(limit_); }
   // Mean set-up delay; 0 before the first answer.
@@ -45,9 +45,9 @@
     if (now - interval_start_ < settings_.interval_us) return;
     const double interval_mean = delay_sum_ / static_cast<double>(delay_count_);
     if (interval_mean > settings_.queueing_threshold * static_cast<double>(min_delay_us_)) {
-      limit_ = std::max(settings_.least, limit_ * 0.9);
+      limit_ = std::max(settings_.min_limit, limit_ * 0.9);
     } else if (limit_reached_) {
-      limit_ = std::min(settings_.most, limit_ + std::max(1.0, limit_ / 16.0));
+      limit_ = std::min(settings_.max_limit, limit_ + std::max(1.0, limit_ / 16.0));
     }
     interval_start_ = now;
     delay_sum_ = 0.0;
--- a/src/admission/retry_reservations.cpp
+++ b/src/admission/retry_reservations.cpp
@@ -7,7 +7,7 @@
 
 RetryReservations::RetryReservations(const RetryReservationSettings& settings)
     : settings_(settings),
-      entries_(std::bit_ceil(std::max<std::size_t>(kMaxProbes, settings.most * 2))),
+      entries_(std::bit_ceil(std::max<std::size_t>(kMaxProbes, settings.max_reservations * 2))),
       slots_(settings.horizon_us / settings.slot_us + 2) {}
 
 RetryReservations::Slot& RetryReservations::SlotOf(std::uint64_t number) {
--- a/src/admission/retry_reservations.h
+++ b/src/admission/retry_reservations.h
@@ -12,9 +12,9 @@
 namespace croftrun::admission {
 
 struct RetryReservationSettings {
-  std::size_t most = 16'384;       // reservations held at once
-  TimeUs slot_us = 100'000;        // length of a slot; retries are spread within it
-  TimeUs horizon_us = 30'000'000;  // no reservation is further ahead than this
+  std::size_t max_reservations = 16'384;  // reservations held at once
+  TimeUs slot_us = 100'000;               // length of a slot; retries are spread within it
+  TimeUs horizon_us = 30'000'000;         // no reservation is further ahead than this
   // An arrival this much before or after its reserved time still counts as arriving as instructed.
   TimeUs early_tolerance_us = 100'000, late_tolerance_us = 1'000'000;
 };
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -14,13 +14,13 @@
 #include <vector>
 
 #include "edge/edge_settings.h"
+#include "lab/admission_comparison.h"
 #include "lab/baselines.h"
 #include "lab/collector.h"
 #include "lab/day.h"
 #include "lab/day_accounts.h"
 #include "lab/day_file.h"
 #include "lab/day_picture.h"
-#include "lab/doors.h"
 #include "lab/edge_processes.h"
 #include "lab/rules.h"
 #include "lab/virtual_day.h"
@@ -356,40 +356,40 @@
 }
 
 int CompareAdmission(const LabAdmission& options) {
-  lab::DoorsCurve curve;
-  curve.floods = options.floods;
-  std::sort(curve.floods.begin(), curve.floods.end());
+  lab::ComparisonCurves curve;
+  curve.flood_rates = options.floods;
+  std::sort(curve.flood_rates.begin(), curve.flood_rates.end());
   nlohmann::json results = nlohmann::json::array();
   if (!options.json)
     std::printf("%-14s %8s %10s %8s %8s %8s %10s %10s %8s\n", "door", "flood/s", "worth/s", "quiet", "worst", "crowd",
                 "p99 wait", "as told", "waiting");
-  for (const std::string& name : lab::DoorNames()) {
-    auto& row = curve.by_door.emplace_back();
-    for (const double flood : curve.floods) {
-      lab::DoorsSettings settings;
+  for (const std::string& name : lab::PolicyNames()) {
+    auto& row = curve.by_policy.emplace_back();
+    for (const double flood : curve.flood_rates) {
+      lab::ComparisonSettings settings;
       settings.seed = options.seed;
       settings.flood_per_s = flood;
-      row.push_back(lab::PlayDoor(name, settings));
-      const lab::DoorFigures& f = row.back();
-      results.push_back({{"door", f.door},
+      row.push_back(lab::RunPolicy(name, settings));
+      const lab::PolicyResult& f = row.back();
+      results.push_back({{"door", f.policy},
                          {"flood_per_s", flood},
                          {"worth_per_s", f.goodput},
                          {"quiet_share", f.quiet_share},
                          {"worst_client", f.worst_client},
                          {"crowd_share", f.crowd_share},
                          {"p99_wait_ms", f.p99_wait_ms},
-                         {"as_told_kept", f.told_kept},
-                         {"most_waiting", f.most_waiting}});
+                         {"as_told_kept", f.reservations_kept},
+                         {"most_waiting", f.max_queued}});
       if (!options.json)
-        std::printf("%-14s %8.0f %10.1f %8.3f %8.3f %8.3f %7.0f ms %10.3f %8llu\n", f.door.c_str(), flood, f.goodput,
-                    f.quiet_share, f.worst_client, f.crowd_share, f.p99_wait_ms, f.told_kept,
-                    static_cast<unsigned long long>(f.most_waiting));
+        std::printf("%-14s %8.0f %10.1f %8.3f %8.3f %8.3f %7.0f ms %10.3f %8llu\n", f.policy.c_str(), flood, f.goodput,
+                    f.quiet_share, f.worst_client, f.crowd_share, f.p99_wait_ms, f.reservations_kept,
+                    static_cast<unsigned long long>(f.max_queued));
     }
   }
   if (options.json) std::cout << results.dump(1) << "\n";
   if (options.svg.empty()) return kDone;
   std::ofstream file(options.svg);
-  file << lab::DoorsPicture(curve);
+  file << lab::RenderComparison(curve);
   if (file.good()) return kDone;
   std::cerr << "cannot write " << options.svg << "\n";
   return kCannotRun;
--- a/src/cli/flow.cpp
+++ b/src/cli/flow.cpp
@@ -10,14 +10,14 @@
 
 #include "cli/commands.h"
 #include "config/json_settings.h"
-#include "flow/shift.h"
+#include "flow/attempt_report.h"
 #include "lab/collector.h"
 
 namespace croftrun::cli {
 namespace {
 
 using flow::DecodedRecord;
-using flow::Source;
+using flow::FieldId;
 using nlohmann::json;
 
 constexpr std::size_t kMaxFileBytes = std::size_t{1} << 30U;
@@ -59,10 +59,10 @@
   flow::Decoder decoder;
   std::string_view rest = content;
   while (!rest.empty()) {
-    const std::size_t length = flow::Decoder::LengthOfNext(rest);
+    const std::size_t length = flow::Decoder::NextMessageLength(rest);
     std::string error = "expected a whole IPFIX message, found other data or the end of the file";
     const bool is_complete = length > 1 && length <= rest.size();
-    if (!is_complete || !decoder.Message(rest.substr(0, length), on_record, &error)) {
+    if (!is_complete || !decoder.DecodeMessage(rest.substr(0, length), on_record, &error)) {
       std::cerr << file << ": octet " << content.size() - rest.size() << ": " << error << "\n";
       return false;
     }
--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -20,16 +20,16 @@
 struct LoadedRules {
   expr::Schema schema;
   std::optional<expr::RuleSet> rules;
-  std::vector<expr::Mistake> errors;
+  std::vector<expr::Diagnostic> errors;
   double load_ms = 0.0;
 };
 
-// Compiles the rule file, followed by `more`, with the names of classes, customers and places from the settings.
+// Compiles the rule file, followed by `more`, with the names of classes, customers and exchanges from the settings.
 // Returns false after printing the errors if a file cannot be read or the settings are not valid.
 bool LoadRules(const RulesRun& options, const std::string& more, bool explain, LoadedRules* loaded) {
   std::vector<config::Mistake> read_errors;
   const std::string settings_text = config::ReadFile(options.settings, kMaxSettingsOctets, &read_errors);
-  const std::string text = config::ReadFile(options.file, expr::Limits().most_octets, &read_errors);
+  const std::string text = config::ReadFile(options.file, expr::Limits().max_octets, &read_errors);
   edge::EdgeSettings settings;
   std::vector<config::Mistake> errors;
   if (read_errors.empty()) settings = edge::ParseEdgeSettings(settings_text, &errors);
@@ -40,7 +40,8 @@
     std::cerr << "croftrun: " << config::ToString(errors);
     return false;
   }
-  loaded->schema = edge::Classifier::SchemaFor(settings.class_names, edge::CustomerNames(settings), settings.places);
+  loaded->schema =
+      edge::Classifier::SchemaFor(settings.class_names, edge::CustomerNames(settings), settings.named_exchanges);
   expr::Limits limits;
   limits.keep_conjuncts = explain;
   const auto start = std::chrono::steady_clock::now();
@@ -52,8 +53,8 @@
 int PrintErrors(const RulesRun& options, const LoadedRules& loaded) {
   if (options.json) {
     json list = json::array();
-    for (const expr::Mistake& m : loaded.errors)
-      list.push_back({{"line", m.line}, {"column", m.column}, {"text", m.text}, {"shown", m.shown}});
+    for (const expr::Diagnostic& m : loaded.errors)
+      list.push_back({{"line", m.line}, {"column", m.column}, {"text", m.text}, {"shown", m.excerpt}});
     std::cout << json{{"fine", false}, {"mistakes", list}}.dump(1) << "\n";
   } else {
     std::cerr << options.file << ":\n" << expr::ToString(loaded.errors);
@@ -67,7 +68,7 @@
   expr::Input input;
   for (const expr::Attribute& attribute : loaded.schema.attributes) input.push_back({0, {}, !attribute.optional});
   for (const auto& [attribute, value] : example.given) input[attribute] = value;
-  loaded.rules->Extend(&input, {0, example.wall_us}, nullptr);
+  loaded.rules->AddDerivedInputs(&input, {0, example.wall_us}, nullptr);
   return input;
 }
 
@@ -87,7 +88,7 @@
   if (outcome.budget_us) add("budget = " + std::to_string(*outcome.budget_us / 1000) + "ms");
   if (outcome.key) add("key = " + std::to_string(*outcome.key));
   if (outcome.redial) add("redial");
-  if (outcome.refuse) add("refuse pause " + std::to_string(outcome.pause_us / 1000) + "ms");
+  if (outcome.refuse) add("refuse pause " + std::to_string(outcome.retry_after_us / 1000) + "ms");
   for (std::size_t i = 0; i < outcome.tag_count; ++i) add("tag \"" + *outcome.tags[i] + "\"");
   return description;
 }
@@ -99,7 +100,7 @@
   if (!LoadRules(options, "", false, &loaded)) return kBadInput;
   if (!loaded.rules) return PrintErrors(options, loaded);
   const expr::RuleSet& rules = *loaded.rules;
-  const auto notes = rules.Report(options.overlaps, kMaxComparedPairs);
+  const auto notes = rules.FindIssues(options.overlaps, kMaxComparedPairs);
   if (options.json) {
     json list = json::array();
     for (const expr::Note& note : notes) list.push_back({{"line", note.line}, {"text", note.text}});
--- a/src/edge/admission_front.cpp
+++ b/src/edge/admission_front.cpp
@@ -44,7 +44,7 @@
     if (decision.admitted) {
       core_->AcceptCall(queued_call.request, this, decision.call);
     } else {
-      core_->RecordRefusedCall(queued_call.request, this, decision.call, decision.pause_us);
+      core_->RecordRefusedCall(queued_call.request, this, decision.call, decision.retry_after_us);
     }
   }
   decisions_.clear();
@@ -54,7 +54,7 @@
 
 void AdmissionFront::RestartTimer() {
   timer_.Stop();
-  const auto deadline = admission_->NextAt();
+  const auto deadline = admission_->NextExpiry();
   if (!deadline) return;
   const TimeUs now = runtime_->Now();
   timer_.Start(*deadline > now ? *deadline - now : 0, [this] {
--- a/src/edge/api_front.cpp
+++ b/src/edge/api_front.cpp
@@ -35,7 +35,7 @@
   return !result.refuse;
 }
 
-CallId ApiFront::Take(const core::CallRequest& call_request, core::CallOwner* owner, std::string_view client) {
+CallId ApiFront::AcceptCall(const core::CallRequest& call_request, core::CallOwner* owner, std::string_view client) {
   return admission_front_->AcceptCall(call_request, owner, client);
 }
 
@@ -63,11 +63,11 @@
 void ApiFront::NotifySubscribers() {
   if (nlohmann::json groups = List("groups"); groups != notified_groups_) {
     notified_groups_ = std::move(groups);
-    session_manager_.TellGroups();
+    session_manager_.PublishGroups();
   }
   if (nlohmann::json roster = List("roster"); roster != notified_roster_) {
     notified_roster_ = std::move(roster);
-    session_manager_.TellRoster();
+    session_manager_.PublishRoster();
   }
   notify_timer_.Start(kNotifyInterval, [this] { NotifySubscribers(); });
 }
--- a/src/edge/api_front.h
+++ b/src/edge/api_front.h
@@ -23,7 +23,7 @@
 
   bool Classify(core::CallRequest* call_request, const std::string& customer, bool* refused,
                 TimeUs* retry_after_us) override;
-  CallId Take(const core::CallRequest& call_request, core::CallOwner* owner, std::string_view client) override;
+  CallId AcceptCall(const core::CallRequest& call_request, core::CallOwner* owner, std::string_view client) override;
   void HangUp(CallId call) override { admission_front_->HangUp(call); }
   nlohmann::json List(const std::string& what) override;
 
--- a/src/edge/classifier.cpp
+++ b/src/edge/classifier.cpp
@@ -10,11 +10,11 @@
 
 constexpr std::size_t kMaxCallingLength = 64;
 
-// Returns each zone once, in the order of the places.
-std::vector<std::string> ZonesOf(const std::vector<Place>& places) {
+// Returns each zone once, in the order of the named exchanges.
+std::vector<std::string> ZonesOf(const std::vector<NamedExchange>& named_exchanges) {
   std::vector<std::string> zones;
-  for (const Place& place : places) {
-    if (std::find(zones.begin(), zones.end(), place.zone) == zones.end()) zones.push_back(place.zone);
+  for (const NamedExchange& named : named_exchanges) {
+    if (std::find(zones.begin(), zones.end(), named.zone) == zones.end()) zones.push_back(named.zone);
   }
   return zones;
 }
@@ -22,11 +22,11 @@
 }  // namespace
 
 expr::Schema Classifier::SchemaFor(const std::vector<std::string>& classes, const std::vector<std::string>& customers,
-                                   const std::vector<Place>& places) {
+                                   const std::vector<NamedExchange>& named_exchanges) {
   using expr::Type;
   expr::Schema schema;
   schema.enumerations = {{"class", classes}, {"customer", customers}};
-  // Fill sets the values in the same order.
+  // FillInput sets the values in the same order.
   schema.attributes = {{"class", Type::kEnum, "class", 0, false},
                        {"customer", Type::kEnum, "customer", 0, false},
                        {"called", Type::kString, "", core::kMostDigits, false},
@@ -37,31 +37,31 @@
                        {"line", Type::kInt, "", 0, true},
                        {"gateway", Type::kAddress, "", 0, false},
                        {"overload", Type::kDouble, "", 0, false}};
-  if (places.empty()) return schema;
-  for (const Place& place : places) schema.enumerations["exchange"].push_back(place.name);
-  schema.enumerations["zone"] = ZonesOf(places);
+  if (named_exchanges.empty()) return schema;
+  for (const NamedExchange& named : named_exchanges) schema.enumerations["exchange"].push_back(named.name);
+  schema.enumerations["zone"] = ZonesOf(named_exchanges);
   schema.attributes.push_back({"to", Type::kEnum, "exchange", 0, true});
   schema.attributes.push_back({"to_zone", Type::kEnum, "zone", 0, true});
   return schema;
 }
 
-std::shared_ptr<const Classifier> Classifier::Make(std::string_view text, const std::vector<std::string>& classes,
-                                                   const std::vector<std::string>& customers,
-                                                   std::vector<expr::Mistake>* mistakes,
-                                                   const std::vector<Place>& places) {
-  auto rules = expr::CompileRules(text, SchemaFor(classes, customers, places), {}, mistakes);
+std::shared_ptr<const Classifier> Classifier::Compile(std::string_view text, const std::vector<std::string>& classes,
+                                                      const std::vector<std::string>& customers,
+                                                      std::vector<expr::Diagnostic>* diagnostics,
+                                                      const std::vector<NamedExchange>& named_exchanges) {
+  auto rules = expr::CompileRules(text, SchemaFor(classes, customers, named_exchanges), {}, diagnostics);
   if (!rules) return nullptr;
   auto classifier = std::make_shared<Classifier>();
   classifier->rules_ = std::move(*rules);
-  const std::vector<std::string> zones = ZonesOf(places);
-  for (std::size_t i = 0; i < places.size(); ++i) {
-    const auto zone = std::find(zones.begin(), zones.end(), places[i].zone) - zones.begin();
-    classifier->words_by_exchange_[places[i].exchange] = {static_cast<int>(i), static_cast<int>(zone)};
+  const std::vector<std::string> zones = ZonesOf(named_exchanges);
+  for (std::size_t i = 0; i < named_exchanges.size(); ++i) {
+    const auto zone = std::find(zones.begin(), zones.end(), named_exchanges[i].zone) - zones.begin();
+    classifier->words_by_exchange_[named_exchanges[i].exchange] = {static_cast<int>(i), static_cast<int>(zone)};
   }
   return classifier;
 }
 
-void Classifier::Fill(const core::CallRequest& call_request, const CallFacts& facts, expr::Input* input) {
+void Classifier::FillInput(const core::CallRequest& call_request, const CallFacts& facts, expr::Input* input) {
   const auto number = [](std::int64_t value) { return expr::Value{value, {}, true}; };
   const auto text = [](std::string_view value, std::size_t max_length) {
     return expr::Value{0, value.substr(0, max_length), true};
@@ -80,24 +80,24 @@
 }
 
 Classifier::Result Classifier::Apply(core::CallRequest* call_request, const CallFacts& facts,
-                                     const expr::Moment& moment, expr::RuleState* state) const {
+                                     const expr::CallTime& call_time, expr::RuleState* state) const {
   // One buffer for each thread, so that calls need no allocation.
   thread_local expr::Input input;
-  Fill(*call_request, facts, &input);
+  FillInput(*call_request, facts, &input);
   if (!words_by_exchange_.empty()) {
     const auto words = words_by_exchange_.find(call_request->destination);
     const bool has_name = words != words_by_exchange_.end();
     input.push_back({has_name ? words->second.exchange : 0, {}, has_name});
     input.push_back({has_name ? words->second.zone : 0, {}, has_name});
   }
-  rules_.Extend(&input, moment, state);
+  rules_.AddDerivedInputs(&input, call_time, state);
   Result result;
   expr::Outcome& outcome = result.outcome;
   rules_.Apply(input, &outcome);
   if (outcome.rule < 0) return result;
   result.rule = &rules_.rules[static_cast<std::size_t>(outcome.rule)];
   result.refuse = outcome.refuse;
-  result.retry_after_us = static_cast<TimeUs>(outcome.pause_us);
+  result.retry_after_us = static_cast<TimeUs>(outcome.retry_after_us);
   if (outcome.call_class) call_request->call_class = *outcome.call_class;
   if (outcome.customer) call_request->customer = *outcome.customer;
   if (outcome.priority) call_request->priority = *outcome.priority;
--- a/src/edge/classifier.h
+++ b/src/edge/classifier.h
@@ -23,7 +23,7 @@
 };
 
 // An exchange that has a name in the settings, and its zone.
-struct Place {
+struct NamedExchange {
   int exchange = -1;
   std::string name, zone;
 };
@@ -31,18 +31,18 @@
 // A compiled set of rules. Immutable, so that each call is classified by one version of the rules.
 class Classifier {
  public:
-  // Returns the attributes of a call that rules can refer to, with the names from the settings. If there are places,
-  // the attributes `to` and `to_zone` are added; they have a value if the destination has a name.
+  // Returns the attributes of a call that rules can refer to, with the names from the settings. If there are named
+  // exchanges, the attributes `to` and `to_zone` are added; they have a value if the destination has a name.
   static expr::Schema SchemaFor(const std::vector<std::string>& classes, const std::vector<std::string>& customers,
-                                const std::vector<Place>& places = {});
+                                const std::vector<NamedExchange>& named_exchanges = {});
   // Fills `input` in the order of the schema's attributes, without the values that the rule set derives. Texts in it
   // refer to the call request.
-  static void Fill(const core::CallRequest& call_request, const CallFacts& facts, expr::Input* input);
-  // Compiles the text of the rules. Appends the errors to `mistakes` and returns null if there are any.
-  static std::shared_ptr<const Classifier> Make(std::string_view text, const std::vector<std::string>& classes,
-                                                const std::vector<std::string>& customers,
-                                                std::vector<expr::Mistake>* mistakes,
-                                                const std::vector<Place>& places = {});
+  static void FillInput(const core::CallRequest& call_request, const CallFacts& facts, expr::Input* input);
+  // Compiles the text of the rules. Appends the errors to `diagnostics` and returns null if there are any.
+  static std::shared_ptr<const Classifier> Compile(std::string_view text, const std::vector<std::string>& classes,
+                                                   const std::vector<std::string>& customers,
+                                                   std::vector<expr::Diagnostic>* diagnostics,
+                                                   const std::vector<NamedExchange>& named_exchanges = {});
 
   struct Result {
     const expr::Rule* rule = nullptr;  // first rule that matched; null: none
@@ -52,7 +52,7 @@
   };
   // Changes the call request as the rules say and counts the call in `state`. The caller timeout is left to the caller
   // of this function: it depends on the class, and `outcome.budget_us` has to be applied after that.
-  Result Apply(core::CallRequest* call_request, const CallFacts& facts, const expr::Moment& moment,
+  Result Apply(core::CallRequest* call_request, const CallFacts& facts, const expr::CallTime& call_time,
                expr::RuleState* state) const;
   const expr::RuleSet& rules() const { return rules_; }
 
--- a/src/edge/edge_node.cpp
+++ b/src/edge/edge_node.cpp
@@ -173,20 +173,20 @@
   if (const admission::AdmissionController* admission = admission_front_.admission()) {
     const admission::AdmissionController::Counters& admission_counters = admission->counters();
     metrics["door"] = {{"waiting", admission->waiting()},
-                       {"under_way", admission->under_way()},
+                       {"under_way", admission->in_set_up()},
                        {"limit", admission->limit()},
                        {"table_bytes", admission->table_bytes()},
                        {"knocks", admission_counters.requests},
                        {"admitted", admission_counters.admitted},
-                       {"waited", admission_counters.waited},
+                       {"waited", admission_counters.queued},
                        {"refused", admission_counters.refused},
                        {"early", admission_counters.early},
-                       {"overdue", admission_counters.overdue},
-                       {"gave_way", admission_counters.gave_way},
+                       {"overdue", admission_counters.expired},
+                       {"gave_way", admission_counters.evicted},
                        {"over_limit", admission_counters.over_limit},
-                       {"promised", admission_counters.promised},
-                       {"as_told", admission_counters.as_told},
-                       {"as_told_admitted", admission_counters.as_told_admitted}};
+                       {"promised", admission_counters.reserved},
+                       {"as_told", admission_counters.as_instructed},
+                       {"as_told_admitted", admission_counters.as_instructed_admitted}};
   }
   for (const core::GroupSettings& group : settings_.core.groups) {
     const core::CircuitGroup* circuits = core_.Group(group.number);
@@ -199,7 +199,7 @@
   }
   if (const expr::RuleState* rules = lines_.rule_state()) {
     metrics["rules"] = {{"version", lines_.rules_version()}, {"counters", nlohmann::json::object()}};
-    for (const auto& counter : rules->Report())
+    for (const auto& counter : rules->ReportCounters())
       metrics["rules"]["counters"][counter.name] = {
           {"counted", counter.counted}, {"displaced", counter.displaced}, {"bytes", counter.bytes}};
   }
@@ -215,10 +215,10 @@
                       {"expired", api_counters.expired},
                       {"commands", api_counters.commands},
                       {"repeated", api_counters.repeated},
-                      {"mistakes", api_counters.mistakes},
-                      {"over_rate", api_counters.over_rate},
+                      {"mistakes", api_counters.invalid_commands},
+                      {"over_rate", api_counters.rate_limited},
                       {"placed", api_counters.placed},
-                      {"slow_readers", api_counters.slow_readers},
+                      {"slow_readers", api_counters.slow_consumers},
                       {"lost_events", api_counters.lost_events}};
   }
   if (roster_) {
--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -166,14 +166,14 @@
     std::size_t place_index = 0;
     for (const json& entry : file.value("places", json::array())) {
       const std::string path = "/places/" + std::to_string(place_index++);
-      Place place{entry.at("exchange").get<int>(), entry.at("name").get<std::string>(),
-                  entry.at("zone").get<std::string>()};
-      for (const Place& known : s->places) {
-        if (known.exchange == place.exchange || known.name == place.name)
-          AddMistake(path, "expected each exchange and each name once, found " + place.name + " for exchange " +
-                               std::to_string(place.exchange));
+      NamedExchange named{entry.at("exchange").get<int>(), entry.at("name").get<std::string>(),
+                          entry.at("zone").get<std::string>()};
+      for (const NamedExchange& known : s->named_exchanges) {
+        if (known.exchange == named.exchange || known.name == named.name)
+          AddMistake(path, "expected each exchange and each name once, found " + named.name + " for exchange " +
+                               std::to_string(named.exchange));
       }
-      s->places.push_back(std::move(place));
+      s->named_exchanges.push_back(std::move(named));
     }
     std::string text, path = "/rules/";
     if (file.contains("rules") && file.contains("rules_file"))
@@ -181,7 +181,7 @@
     if (file.contains("rules_file")) {
       const auto name = file.at("rules_file").get<std::string>();
       std::vector<config::Mistake> read_errors;
-      text = config::ReadFile(name, expr::Limits().most_octets, &read_errors);
+      text = config::ReadFile(name, expr::Limits().max_octets, &read_errors);
       for (const config::Mistake& mistake : read_errors) AddMistake("/rules_file", name + ": " + mistake.text);
       if (!read_errors.empty()) return;
       path = "/rules_file " + name + ":";
@@ -191,11 +191,11 @@
       for (const json& line : file.at("rules")) text += line.get<std::string>() + "\n";
     }
     const bool rules_are_inline = path == "/rules/";  // lines of the list are counted from 0, as in other paths
-    std::vector<expr::Mistake> rule_errors;
-    s->classifier = Classifier::Make(text, s->class_names, CustomerNames(*s), &rule_errors, s->places);
-    for (const expr::Mistake& error : rule_errors)
+    std::vector<expr::Diagnostic> rule_errors;
+    s->classifier = Classifier::Compile(text, s->class_names, CustomerNames(*s), &rule_errors, s->named_exchanges);
+    for (const expr::Diagnostic& error : rule_errors)
       AddMistake(path + std::to_string(error.line - (rules_are_inline ? 1 : 0)),
-                 "column " + std::to_string(error.column) + ": " + error.text + "\n" + error.shown);
+                 "column " + std::to_string(error.column) + ": " + error.text + "\n" + error.excerpt);
   }
 
   void ReadApi(const json& a, EdgeSettings* s) {
@@ -204,14 +204,14 @@
     Value(a, "token_keys_file", &api.token_keys_file);
     Value(a, "most_connections", &api.max_connections);
     Value(a, "accepts_per_s", &api.accepts_per_s);
-    Time(a, "idle_ms", &api.idle_us);
-    Value(a, "most_sessions", &api.session_manager.most_sessions);
-    Value(a, "most_queued", &api.session_manager.most_queued);
-    Time(a, "resume_ms", &api.session_manager.resume_us);
-    Time(a, "hello_ms", &api.session_manager.hello_us);
-    Value(a, "calls", &api.session_manager.session.most_calls);
-    Value(a, "commands_per_s", &api.session_manager.session.commands.per_s);
-    Value(a, "burst", &api.session_manager.session.commands.burst);
+    Time(a, "idle_ms", &api.idle_timeout_us);
+    Value(a, "most_sessions", &api.session_manager.max_sessions);
+    Value(a, "most_queued", &api.session_manager.max_queued_octets);
+    Time(a, "resume_ms", &api.session_manager.resume_timeout_us);
+    Time(a, "hello_ms", &api.session_manager.hello_timeout_us);
+    Value(a, "calls", &api.session_manager.session.max_calls);
+    Value(a, "commands_per_s", &api.session_manager.session.command_limit.per_s);
+    Value(a, "burst", &api.session_manager.session.command_limit.burst);
     if (!api.token_keys_file.empty()) {
       std::vector<config::Mistake> mistakes;
       api.session_manager.token_keys = ReadTokenKeys(api.token_keys_file, &mistakes);
@@ -225,24 +225,24 @@
     if (!file.contains("door")) return;
     const json& d = file.at("door");
     admission::AdmissionSettings admission;
-    Value(d, "most_waiting", &admission.most_waiting);
-    Value(d, "clients", &admission.clients.most);
-    Value(d, "promises", &admission.reservations.most);
-    Value(d, "first_limit", &admission.limiter.first);
-    Value(d, "least_limit", &admission.limiter.least);
-    Value(d, "most_limit", &admission.limiter.most);
-    Value(d, "calls_per_s", &admission.all.per_s);
-    Value(d, "burst", &admission.all.burst);
+    Value(d, "most_waiting", &admission.max_queued);
+    Value(d, "clients", &admission.clients.max_clients);
+    Value(d, "promises", &admission.reservations.max_reservations);
+    Value(d, "first_limit", &admission.limiter.initial_limit);
+    Value(d, "least_limit", &admission.limiter.min_limit);
+    Value(d, "most_limit", &admission.limiter.max_limit);
+    Value(d, "calls_per_s", &admission.total_limit.per_s);
+    Value(d, "burst", &admission.total_limit.burst);
     Value(d, "client_calls_per_s", &admission.clients.limit.per_s);
     Value(d, "client_burst", &admission.clients.limit.burst);
     Time(d, "prove_ms", &admission.clients.verify_us);
-    Time(d, "least_pause_ms", &admission.least_pause_us);
-    if (admission.limiter.least > admission.limiter.most)
+    Time(d, "least_pause_ms", &admission.min_retry_after_us);
+    if (admission.limiter.min_limit > admission.limiter.max_limit)
       AddMistake("/door/least_limit", "expected no more than most_limit, found more");
     // A retry-after is stated up to the limit of the network settings, or not at all if
     // retry-after is not honoured.
     const Settings& m = s->core.module;
-    admission.longest_pause_us = m.honours_retry_after ? m.max_retry_after_us : 0;
+    admission.max_retry_after_us = m.honours_retry_after ? m.max_retry_after_us : 0;
     if (file.contains("customers")) {
       for (const json& entry : file.at("customers")) {
         admission::CustomerSettings customer;
@@ -276,11 +276,11 @@
     const json& s = entry.at("spool");
     flow::SpoolSettings spool;
     Value(s, "folder", &spool.folder);
-    Value(s, "most_octets", &spool.most_octets);
-    Value(s, "segment_octets", &spool.segment_octets);
-    Time(s, "sync_ms", &spool.sync_us);
-    Time(s, "retry_ms", &spool.retry_us);
-    Time(s, "away_ms", &c->catch_up.away_us);
+    Value(s, "most_octets", &spool.max_octets);
+    Value(s, "segment_octets", &spool.max_segment_octets);
+    Time(s, "sync_ms", &spool.sync_interval_us);
+    Time(s, "retry_ms", &spool.retry_delay_us);
+    Time(s, "away_ms", &c->catch_up.away_timeout_us);
     Value(s, "records_per_s", &c->catch_up.records_per_s);
     c->spool = spool;
   }
@@ -292,12 +292,12 @@
     const auto exchange = static_cast<std::uint32_t>(s->core.module.own_number);
     Value(f, "ring", &flow.ring_capacity);
     flow.recorder.exchange = flow.exporter.exchange = exchange;
-    flow.recorder.most_open = s->core.max_calls;
+    flow.recorder.max_tracked_calls = s->core.max_calls;
     Time(f, "interval_ms", &flow.recorder.interval_us);
-    Time(f, "group_interval_ms", &flow.exporter.group_us);
-    Time(f, "counts_interval_ms", &flow.exporter.counts_us);
+    Time(f, "group_interval_ms", &flow.exporter.group_interval_us);
+    Time(f, "counts_interval_ms", &flow.exporter.counts_interval_us);
     Value(f, "enterprise", &flow.exporter.enterprise);
-    Value(f, "sample_one_in", &flow.exporter.sample);
+    Value(f, "sample_one_in", &flow.exporter.sample_one_in);
     flow.exporter.classes = s->class_names;
     flow.exporter.seed = exchange + 1;
     std::size_t index = 0;
@@ -315,12 +315,12 @@
       if (c.transport != flow::Transport::kUdp && c.protocol == flow::Protocol::kNetflow9)
         AddMistake(path + "/protocol",
                    "expected ipfix over " + transport + ", found netflow9, which is supported over udp only");
-      Value(entry, "queue", &c.queue);
-      Value(entry, "message_octets", &c.most_octets);
-      Time(entry, "template_refresh_ms", &c.template_refresh_us);
-      Time(entry, "least_wait_ms", &c.link.least_wait_us);
-      Time(entry, "longest_wait_ms", &c.link.longest_wait_us);
-      Time(entry, "stall_ms", &c.link.stall_us);
+      Value(entry, "queue", &c.max_queued_records);
+      Value(entry, "message_octets", &c.max_message_octets);
+      Time(entry, "template_refresh_ms", &c.template_refresh_interval_us);
+      Time(entry, "least_wait_ms", &c.connection.min_backoff_us);
+      Time(entry, "longest_wait_ms", &c.connection.max_backoff_us);
+      Time(entry, "stall_ms", &c.connection.stall_timeout_us);
       ReadTls(entry, path, transport, &c.tls);
       ReadSpool(entry, &c);
       for (const flow::CollectorSettings& other : flow.exporter.collectors) {
--- a/src/edge/edge_settings.h
+++ b/src/edge/edge_settings.h
@@ -48,7 +48,7 @@
   core::Address listen;
   std::string token_keys_file;  // empty: clients are identified by their address alone
   std::size_t max_connections = 1'024;
-  TimeUs idle_us = 30'000'000;
+  TimeUs idle_timeout_us = 30'000'000;
   std::size_t accepts_per_s = 200;
   ws::SessionManagerSettings session_manager;  // includes the keys read from token_keys_file
 };
@@ -63,7 +63,7 @@
   std::string domain;
   LineSettings lines;
   std::vector<std::string> class_names;
-  std::vector<Place> places;  // names that rules can use
+  std::vector<NamedExchange> named_exchanges;  // names that rules can use
   core::NumberPlan plan;
   std::shared_ptr<const Classifier> classifier;  // null: no rules
   std::optional<RosterSettings> roster;
--- a/src/edge/line_front.cpp
+++ b/src/edge/line_front.cpp
@@ -46,12 +46,12 @@
   classifier_ = std::move(classifier);
   ++rules_version_;
   if (classifier_ == nullptr) return rule_state_.reset();
-  if (rule_state_) return rule_state_->Follow(classifier_->rules(), rule_seed_);
+  if (rule_state_) return rule_state_->ReplaceRules(classifier_->rules(), rule_seed_);
   rule_state_.emplace(classifier_->rules(), rule_seed_);
 }
 
-Classifier::Result LineFront::PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us,
-                                                  int line, core::CallRequest* call_request) {
+Classifier::Result LineFront::PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us, int line,
+                                          core::CallRequest* call_request) {
   call_request->call_class = meaning.call_class;
   if (call_request->customer < 0 || line > 0) call_request->customer = meaning.customer;
   call_request->destination = meaning.destination;
@@ -72,21 +72,19 @@
   }
   if (result.rule != nullptr) apply_class();  // width and caller timeout depend on the class
   if (result.outcome.budget_us)
-    call_request->caller_timeout_us =
-        std::min(call_request->caller_timeout_us,
-                 static_cast<TimeUs>(std::max<std::int64_t>(1, *result.outcome.budget_us)));
+    call_request->caller_timeout_us = std::min(
+        call_request->caller_timeout_us, static_cast<TimeUs>(std::max<std::int64_t>(1, *result.outcome.budget_us)));
   return result;
 }
 
 Classifier::Result LineFront::ApplyRules(core::CallRequest* call_request, int line) {
   call_request->rules = rules_version_;
   const CallFacts facts{line, settings_.gateway.host, core_->ShareRefused()};
-  const expr::Moment moment{runtime_->Now(), classifier_->rules().calendar.empty() ? 0 : runtime_->WallClockUs()};
-  const Classifier::Result result = classifier_->Apply(call_request, facts, moment, &*rule_state_);
+  const expr::CallTime call_time{runtime_->Now(), classifier_->rules().calendar.empty() ? 0 : runtime_->WallClockUs()};
+  const Classifier::Result result = classifier_->Apply(call_request, facts, call_time, &*rule_state_);
   if (result.rule != nullptr && log_->IsEnabled(core::LogLevel::kDebug)) {
-    std::string detail =
-        call_request->calling + ": rule " +
-        (result.rule->name.empty() ? std::to_string(result.rule->line) : result.rule->name);
+    std::string detail = call_request->calling + ": rule " +
+                         (result.rule->name.empty() ? std::to_string(result.rule->line) : result.rule->name);
     for (std::size_t i = 0; i < result.outcome.tag_count; ++i)
       detail += (i == 0 ? ", tags " : " ") + *result.outcome.tags[i];
     log_->Write(core::LogLevel::kDebug, "classified", 0, detail + ", rules " + std::to_string(rules_version_));
@@ -233,7 +231,7 @@
   std::string body;
   Writer writer(&body);
   writer.Line(wire_names::kAnswer, "refused");
-  if (retry_after_us > 0) writer.Line(wire_names::kPause, std::to_string(retry_after_us / 1000));
+  if (retry_after_us > 0) writer.Line(wire_names::kRetryAfter, std::to_string(retry_after_us / 1000));
   transactions_->Respond(*pending_notification_, mgcp::kOverload, body, "overload");
   pending_notification_.reset();
 }
@@ -249,7 +247,7 @@
   core::CallRequest call_request;
   call_request.called = digits;
   call_request.calling = std::string(wire_names::kLines) + std::to_string(line_number);
-  const auto caller_timeout = wire_names::Number<std::uint32_t>(message.Get(wire_names::kPatience));
+  const auto caller_timeout = wire_names::Number<std::uint32_t>(message.Get(wire_names::kCallerTimeout));
   if (const Classifier::Result result =
           PrepareCall(*meaning, caller_timeout ? TimeUs{*caller_timeout} * 1000 : 0, line_number, &call_request);
       result.refuse) {
@@ -323,12 +321,11 @@
   std::string body = OnHookRequest();
   Writer writer(&body);
   writer.Line("S", signal).Line(wire_names::kAnswer, answer);
-  if (retry_after_us > 0) writer.Line(wire_names::kPause, std::to_string(retry_after_us / 1000));
+  if (retry_after_us > 0) writer.Line(wire_names::kRetryAfter, std::to_string(retry_after_us / 1000));
   SendCommand(line_number, Verb::kRqnt, std::move(body), [this, line_number](const Answered& answered) {
     // 402: the line is on hook already; its notification may have been overtaken or lost.
     Line& current = lines_[static_cast<std::size_t>(line_number)];
-    if (answered.code() == mgcp::kAlreadyOnHook && current.state == State::kTone)
-      HandleOnHook(line_number, current);
+    if (answered.code() == mgcp::kAlreadyOnHook && current.state == State::kTone) HandleOnHook(line_number, current);
   });
 }
 
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -71,7 +71,7 @@
                          {"dropped_intervals", ring.dropped(RecordKind::kInterval)},
                          {"ring_bytes", ring.bytes()},
                          {"collectors", nlohmann::json::array()}};
-  for (const auto& c : exporter.Figures())
+  for (const auto& c : exporter.Metrics())
     json["collectors"].push_back({{"name", c.name},
                                   {"up", c.up},
                                   {"taken", c.taken},
@@ -97,7 +97,7 @@
 
 void LogRuleNotes(const croftrun::expr::RuleSet& rules, croftrun::core::Logger* log) {
   std::size_t logged = 0;
-  for (const auto& note : rules.Report(false, kMaxComparedRulePairs)) {
+  for (const auto& note : rules.FindIssues(false, kMaxComparedRulePairs)) {
     if (++logged > kMaxLoggedRuleNotes) break;
     log->Write(croftrun::core::LogLevel::kWarning, "rules-note", 0,
                "line " + std::to_string(note.line) + ": " + note.text);
@@ -137,10 +137,10 @@
   if (settings.api) {
     ws::ServerSettings server;
     server.listen = settings.api->listen;
-    server.most_connections = settings.api->max_connections;
-    server.idle_us = settings.api->idle_us;
+    server.max_connections = settings.api->max_connections;
+    server.idle_timeout_us = settings.api->idle_timeout_us;
     server.accepts_per_s = settings.api->accepts_per_s;
-    server.most_octets = settings.api->session_manager.api.most_octets;
+    server.max_message_octets = settings.api->session_manager.api.max_octets;
     api = std::make_unique<ws::Server>(&runtime.context(), server, node.session_manager());
   }
   const auto metrics = [&] {
@@ -171,7 +171,7 @@
           node.SetClassifier(reloaded->classifier);
           if (!reloaded->customers.empty()) node.SetCustomers(reloaded->customers);
           if (node.session_manager() != nullptr && !reloaded->token_keys.empty())
-            node.session_manager()->SetKeys(reloaded->token_keys);
+            node.session_manager()->SetTokenKeys(reloaded->token_keys);
           const std::size_t rules = reloaded->classifier == nullptr ? 0 : reloaded->classifier->rules().rules.size();
           log.Write(core::LogLevel::kInfo, "rules-reloaded", 0,
                     std::to_string(rules) + " rules, version " + std::to_string(node.rules_version()));
--- a/src/edge/trunk_gateway.cpp
+++ b/src/edge/trunk_gateway.cpp
@@ -130,7 +130,7 @@
       writer.Line("S", "MS/sup(addr(" + call_request.called + "),id(" + call_request.calling + "))");
       writer.Line(wire_names::kOrigin, std::to_string(set_up.origin));
       writer.Line(wire_names::kClass, settings_.class_names[static_cast<std::size_t>(call_request.call_class)]);
-      writer.Line(wire_names::kPatience, std::to_string(set_up.budget_us / 1000));
+      writer.Line(wire_names::kCallerTimeout, std::to_string(set_up.budget_us / 1000));
       if (!others.empty()) writer.Line(wire_names::kCircuitList, others);
     }
     const std::uint32_t transaction =
@@ -286,7 +286,7 @@
   call_request.width = circuits.size();
   const CallClass& call_class = settings_.core.module.classes[static_cast<std::size_t>(call_request.call_class)];
   call_request.caller_timeout_us = call_class.deadline_us;
-  if (const auto caller_timeout = wire_names::Number<std::uint32_t>(message.Get(wire_names::kPatience)))
+  if (const auto caller_timeout = wire_names::Number<std::uint32_t>(message.Get(wire_names::kCallerTimeout)))
     call_request.caller_timeout_us = TimeUs{*caller_timeout} * 1000;
   call_request.caller_timeout_us -=
       std::min(call_request.caller_timeout_us, runtime_->QueueDelay());  // counted from the arrival
@@ -336,7 +336,7 @@
                                       const mgcp::Message& message) {
   ReleaseInfo info;
   info.cause = ParseCause(rel.parameters);
-  info.exchange_number = wire_names::Number<int>(message.Get(wire_names::kAt)).value_or(-1);
+  info.exchange_number = wire_names::Number<int>(message.Get(wire_names::kCauseExchange)).value_or(-1);
   info.wait_us = TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kWait)).value_or(0)} * 1000;
   info.load = ParseLoadReport(message);
   const auto found = call_legs_.find(key);
@@ -421,7 +421,7 @@
   if (!connection.empty()) writer.Line("I", connection);
   body += EventRequest(state.request_id, "MS/sup, MS/rlc");
   writer.Line("S", ReleaseSignal(info));
-  if (info.exchange_number >= 0) writer.Line(wire_names::kAt, std::to_string(info.exchange_number));
+  if (info.exchange_number >= 0) writer.Line(wire_names::kCauseExchange, std::to_string(info.exchange_number));
   if (info.wait_us > 0) writer.Line(wire_names::kWait, std::to_string(info.wait_us / 1000));
   Send(key, Verb::kDlcx, std::move(body), [this, key, request_id = state.request_id](const Answered& answered) {
     if (answered.ok()) without_request_.erase(key);
@@ -606,7 +606,7 @@
 
 void TrunkGateway::ProbeGroup(int group) {
   const TimeUs sent = runtime_->Now();
-  const std::string endpoint = std::string(wire_names::kFar) + std::to_string(group) + "@" + settings_.domain;
+  const std::string endpoint = std::string(wire_names::kFarProcessors) + std::to_string(group) + "@" + settings_.domain;
   transactions_->Send(settings_.gateway,
                       {Verb::kAuep, endpoint, "F: ES\r\n", [this, group, sent](const Answered& response) {
                          core_->OnProbed(group, response.ok(), runtime_->Now() - sent,
--- a/src/edge/wire_names.h
+++ b/src/edge/wire_names.h
@@ -14,20 +14,20 @@
 // processors of far exchanges far/<number>.
 inline constexpr std::string_view kLines = "aaln/";
 inline constexpr std::string_view kCircuits = "ds/";
-inline constexpr std::string_view kFar = "far/";
+inline constexpr std::string_view kFarProcessors = "far/";
 
 // Extension parameters. A receiver that does not know an X- parameter ignores it (RFC 3435 3.2.2).
-inline constexpr std::string_view kPatience = "X-Patience";     // ms until the caller gives up this attempt
-inline constexpr std::string_view kClass = "X-Class";           // name of the call class
-inline constexpr std::string_view kOrigin = "X-Origin";         // number of the exchange where the call originated
-inline constexpr std::string_view kCircuitList = "X-Circuits";  // further circuits of a call on several circuits
-inline constexpr std::string_view kAt = "X-At";                 // number of the exchange that set the cause
-inline constexpr std::string_view kWait = "X-Wait";             // ms, wait time reported by a full processor
-inline constexpr std::string_view kLoad = "X-Load";             // load figures of the far processor
+inline constexpr std::string_view kCallerTimeout = "X-Patience";  // ms until the caller gives up this attempt
+inline constexpr std::string_view kClass = "X-Class";             // name of the call class
+inline constexpr std::string_view kOrigin = "X-Origin";           // number of the exchange where the call originated
+inline constexpr std::string_view kCircuitList = "X-Circuits";    // further circuits of a call on several circuits
+inline constexpr std::string_view kCauseExchange = "X-At";        // number of the exchange that set the cause
+inline constexpr std::string_view kWait = "X-Wait";               // ms, wait time reported by a full processor
+inline constexpr std::string_view kLoad = "X-Load";               // load figures of the far processor
 inline constexpr std::string_view kState =
     "X-State";  // of a circuit: idle, seized, seized-in, far-released, releasing, blocked
-inline constexpr std::string_view kPause = "X-Pause";    // ms, retry-after for the caller
-inline constexpr std::string_view kAnswer = "X-Answer";  // refused or failed; a tone alone does not tell which
+inline constexpr std::string_view kRetryAfter = "X-Pause";  // ms, retry-after for the caller
+inline constexpr std::string_view kAnswer = "X-Answer";     // refused or failed; a tone alone does not tell which
 
 // Full endpoint names.
 inline std::string Circuit(int group, unsigned circuit, std::string_view domain) {
--- a/src/expr/check.h
+++ b/src/expr/check.h
@@ -36,7 +36,7 @@
 
   const Schema& schema;
   std::map<std::string, std::vector<std::string>> enumerations;
-  std::vector<Attribute> inputs;  // those of the schema, then those that RuleSet::Extend adds
+  std::vector<Attribute> inputs;  // those of the schema, then those that RuleSet::AddDerivedInputs adds
   std::vector<CalendarInput> calendar;
   bool in_rule_file = false;  // calendar and counters can be used only in a rule file
   std::string default_zone = "UTC";
--- a/src/expr/compile.cpp
+++ b/src/expr/compile.cpp
@@ -23,9 +23,9 @@
 bool IsInputName(const Node& node) { return node.kind == NodeKind::kName && !node.constant; }
 
 bool CheckSize(std::string_view text, const Limits& limits, Reporter* reporter) {
-  if (text.size() <= limits.most_octets) return true;
+  if (text.size() <= limits.max_octets) return true;
   reporter->Report(
-      0, "expected at most " + std::to_string(limits.most_octets) + " octets, found " + std::to_string(text.size()));
+      0, "expected at most " + std::to_string(limits.max_octets) + " octets, found " + std::to_string(text.size()));
   return false;
 }
 
@@ -785,7 +785,7 @@
 }  // namespace
 
 std::optional<Program> CompileExpression(std::string_view text, const Schema& schema, const Limits& limits,
-                                         std::vector<Mistake>* errors) {
+                                         std::vector<Diagnostic>* errors) {
   Reporter reporter(text, limits, errors);
   if (!CheckSize(text, limits, &reporter)) return std::nullopt;
   Parser parser(Lex(text, limits, &reporter), limits, &reporter);
@@ -801,7 +801,7 @@
 }
 
 std::optional<RuleSet> CompileRules(std::string_view text, const Schema& schema, const Limits& limits,
-                                    std::vector<Mistake>* errors) {
+                                    std::vector<Diagnostic>* errors) {
   Reporter reporter(text, limits, errors);
   if (!CheckSize(text, limits, &reporter)) return std::nullopt;
   Parser parser(Lex(text, limits, &reporter), limits, &reporter);
--- a/src/expr/expr.h
+++ b/src/expr/expr.h
@@ -45,7 +45,7 @@
 
 // Limits on the size and the cost of rule files and expressions.
 struct Limits {
-  std::size_t most_octets = 4 << 20;  // of a rule file
+  std::size_t max_octets = 4 << 20;  // of a rule file
   std::size_t max_tokens = 1'000'000;
   std::size_t max_depth = 64;
   std::size_t max_list_items = 4096;
@@ -59,13 +59,13 @@
 };
 
 // An error in a rule file or an expression.
-struct Mistake {
+struct Diagnostic {
   std::size_t line = 0, column = 0;  // from 1
   std::string text;                  // what was expected and what was found
-  std::string shown;                 // the source line, with a caret below the position
+  std::string excerpt;               // the source line, with a caret below the position
 };
 // Formats the errors, each with its position and its source line.
-std::string ToString(const std::vector<Mistake>& errors);
+std::string ToString(const std::vector<Diagnostic>& errors);
 
 // ---- byte code ----
 
@@ -225,7 +225,7 @@
 };
 
 // The time at which the rules are applied to a call.
-struct Moment {
+struct CallTime {
   std::uint64_t now_us = 0;  // of a monotonic clock, for the counters
   std::int64_t wall_us = 0;  // Unix time, for the calendar
 };
@@ -239,7 +239,7 @@
   std::optional<std::int64_t> budget_us;
   std::optional<std::uint64_t> key;
   bool refuse = false, redial = false;
-  std::int64_t pause_us = 0;
+  std::int64_t retry_after_us = 0;
   std::array<const std::string*, kMaxTags> tags{};
   std::size_t tag_count = 0;
 };
@@ -260,13 +260,13 @@
   std::vector<CalendarInput> calendar;
   std::vector<Counter> counters;
   std::vector<Example> examples;
-  std::size_t attribute_count = 0, input_count = 0;  // in the schema; with those that Extend adds
+  std::size_t attribute_count = 0, input_count = 0;  // in the schema; with those that AddDerivedInputs adds
   std::uint64_t cost_bound = 0;                      // sum over all conditions
   RuleIndex index;
 
   // Adds calendar values and counters to an input that holds the schema's attributes, and counts the call. Must be
   // called once a call, before Match or Apply. If `state` is null, all counters read 0.
-  void Extend(Input* input, const Moment& moment, RuleState* state) const;
+  void AddDerivedInputs(Input* input, const CallTime& call_time, RuleState* state) const;
   // Returns the index of the first rule that matches, or -1.
   int Match(const Input& input, std::uint64_t* steps = nullptr) const;
   // Collects the effects of the rules that match.
@@ -274,7 +274,7 @@
   // Reports rules that cannot match or are never reached; with `overlaps` also pairs of rules that may match the same
   // call and have different effects. At most `max_pairs` pairs are compared; if that was not all, the last note says
   // so.
-  std::vector<Note> Report(bool overlaps, std::size_t max_pairs) const;
+  std::vector<Note> FindIssues(bool overlaps, std::size_t max_pairs) const;
 
  private:
   SharedValueCache* BeginCall() const;
@@ -282,10 +282,10 @@
 
 // Compiles a single expression. Returns nothing if it has errors.
 std::optional<Program> CompileExpression(std::string_view text, const Schema& schema, const Limits& limits,
-                                         std::vector<Mistake>* errors);
+                                         std::vector<Diagnostic>* errors);
 // Compiles a rule file. Reports all errors of the file at once, and returns nothing if there are any.
 std::optional<RuleSet> CompileRules(std::string_view text, const Schema& schema, const Limits& limits,
-                                    std::vector<Mistake>* errors);
+                                    std::vector<Diagnostic>* errors);
 
 }  // namespace croftrun::expr
 
--- a/src/expr/lex.cpp
+++ b/src/expr/lex.cpp
@@ -282,7 +282,7 @@
   offset = std::min(offset, source_.size());
   // An error at the end of the source is shown after the last token, not on the empty line that follows it.
   if (offset == source_.size()) offset = source_.find_last_not_of(" \t\r\n", offset) + 1;  // npos + 1 is 0
-  Mistake error;
+  Diagnostic error;
   error.line = 1 + static_cast<std::size_t>(
                        std::count(source_.begin(), source_.begin() + static_cast<std::ptrdiff_t>(offset), '\n'));
   const std::size_t begin = offset == 0 ? 0 : source_.rfind('\n', offset - 1) + 1;  // npos + 1 is 0
@@ -295,9 +295,10 @@
   const std::size_t end = std::min(source_.find('\n', offset), source_.size());
   const std::size_t to = std::min(end, from + kWidth);
   const std::string_view left = from > begin ? "..." : "", right = to < end ? "..." : "";
-  error.shown = left;
-  for (const char c : source_.substr(from, to - from)) error.shown += c == '\t' ? ' ' : c >= ' ' && c <= '~' ? c : '?';
-  error.shown += std::string(right) + "\n" + std::string(left.size() + offset - from, ' ') + "^";
+  error.excerpt = left;
+  for (const char c : source_.substr(from, to - from))
+    error.excerpt += c == '\t' ? ' ' : c >= ' ' && c <= '~' ? c : '?';
+  error.excerpt += std::string(right) + "\n" + std::string(left.size() + offset - from, ' ') + "^";
   errors_->push_back(std::move(error));
 }
 
@@ -320,10 +321,10 @@
   return Lexer(source, limits, reporter).Tokenize();
 }
 
-std::string ToString(const std::vector<Mistake>& errors) {
+std::string ToString(const std::vector<Diagnostic>& errors) {
   std::string text;
-  for (const Mistake& m : errors)
-    text += std::to_string(m.line) + ":" + std::to_string(m.column) + ": " + m.text + "\n" + m.shown + "\n";
+  for (const Diagnostic& m : errors)
+    text += std::to_string(m.line) + ":" + std::to_string(m.column) + ": " + m.text + "\n" + m.excerpt + "\n";
   return text;
 }
 
--- a/src/expr/lex.h
+++ b/src/expr/lex.h
@@ -28,7 +28,7 @@
 // Collects errors with their position in the source.
 class Reporter {
  public:
-  Reporter(std::string_view source, const Limits& limits, std::vector<Mistake>* errors)
+  Reporter(std::string_view source, const Limits& limits, std::vector<Diagnostic>* errors)
       : source_(source), limits_(limits), errors_(errors) {}
   // Adds an error at an offset in the source.
   void Report(std::size_t offset, std::string text);
@@ -37,7 +37,7 @@
  private:
   std::string_view source_;
   const Limits& limits_;
-  std::vector<Mistake>* errors_;
+  std::vector<Diagnostic>* errors_;
   std::size_t error_count_ = 0;
 };
 
--- a/src/expr/rule_set.cpp
+++ b/src/expr/rule_set.cpp
@@ -51,11 +51,11 @@
 
 }  // namespace
 
-void RuleSet::Extend(Input* input, const Moment& moment, RuleState* state) const {
+void RuleSet::AddDerivedInputs(Input* input, const CallTime& call_time, RuleState* state) const {
   input->resize(input_count);
   for (const CalendarInput& calendar_input : calendar)
     (*input)[calendar_input.input_index] = {
-        calendar_input.time_zone->LocalValue(calendar_input.kind, moment.wall_us), {}, true};
+        calendar_input.time_zone->LocalValue(calendar_input.kind, call_time.wall_us), {}, true};
   for (std::size_t i = 0; i < counters.size(); ++i) {
     const Counter& counter = counters[i];
     std::int64_t count = 0;
@@ -63,7 +63,7 @@
       std::uint64_t key = 0;
       for (const Program& part : counter.key_parts) key = CombineHashes(key, HashOf(part, *input));
       const std::uint64_t item = counter.distinct_item ? HashOf(*counter.distinct_item, *input) : 0;
-      count = state->CountCall(i, moment.now_us, key, item, !counter.condition || counter.condition->Test(*input));
+      count = state->CountCall(i, call_time.now_us, key, item, !counter.condition || counter.condition->Test(*input));
     }
     (*input)[counter.input_index] = {count, {}, true};
   }
@@ -111,13 +111,13 @@
     }
     if (effects.refuse) {
       outcome->refuse = true;
-      outcome->pause_us = effects.retry_after_us;
+      outcome->retry_after_us = effects.retry_after_us;
     }
     return !match_all || effects.refuse;
   });
 }
 
-std::vector<Note> RuleSet::Report(bool overlaps, std::size_t max_pairs) const {
+std::vector<Note> RuleSet::FindIssues(bool overlaps, std::size_t max_pairs) const {
   std::vector<Note> notes;
   std::size_t pairs = 0;
   for (std::size_t j = 0; j < rules.size(); ++j) {
--- a/src/expr/rule_state.cpp
+++ b/src/expr/rule_state.cpp
@@ -5,7 +5,7 @@
 
 namespace croftrun::expr {
 
-void RuleState::Follow(const RuleSet& rules, std::uint64_t seed) {
+void RuleState::ReplaceRules(const RuleSet& rules, std::uint64_t seed) {
   std::vector<Table> previous = std::exchange(tables_, {});
   for (const Counter& counter : rules.counters) {
     const auto unchanged = std::find_if(previous.begin(), previous.end(),
@@ -36,7 +36,7 @@
   return count ? table.distinct->Count(now_us, key, item) : table.distinct->Read(now_us, key);
 }
 
-std::vector<RuleState::CounterStats> RuleState::Report() const {
+std::vector<RuleState::CounterStats> RuleState::ReportCounters() const {
   std::vector<CounterStats> report;
   for (const Table& table : tables_) {
     if (table.counter != nullptr) {
--- a/src/expr/rule_state.h
+++ b/src/expr/rule_state.h
@@ -14,9 +14,9 @@
 // Not thread-safe.
 class RuleState {
  public:
-  RuleState(const RuleSet& rules, std::uint64_t seed) { Follow(rules, seed); }
+  RuleState(const RuleSet& rules, std::uint64_t seed) { ReplaceRules(rules, seed); }
   // Replaces the rules. Counters with the same signature keep their counts, others start at zero.
-  void Follow(const RuleSet& rules, std::uint64_t seed);
+  void ReplaceRules(const RuleSet& rules, std::uint64_t seed);
   // Counts the call in the counter with this index if `count` is set, and returns the value of the counter.
   std::int64_t CountCall(std::size_t counter, std::uint64_t now_us, std::uint64_t key, std::uint64_t item, bool count);
 
@@ -27,7 +27,7 @@
     std::size_t bytes = 0;
   };
   // Returns the statistics of all counters.
-  std::vector<CounterStats> Report() const;
+  std::vector<CounterStats> ReportCounters() const;
 
  private:
   struct Table {
--- a/src/flow/shift.cpp
+++ b/src/flow/attempt_report.cpp
@@ -1,4 +1,4 @@
-#include "flow/shift.h"
+#include "flow/attempt_report.h"
 
 #include <xxhash.h>
 
@@ -34,16 +34,16 @@
 
 void AttemptReport::Add(const DecodedRecord& record) {
   if (record.template_id != kAttemptTemplate) return;
-  const std::array<std::uint64_t, 4> key = {record.Number(Source::kExchange), record.Number(Source::kCall),
-                                            record.Number(Source::kAttemptNumber), record.Number(Source::kStart)};
+  const std::array<std::uint64_t, 4> key = {record.Number(FieldId::kExchange), record.Number(FieldId::kCall),
+                                            record.Number(FieldId::kAttemptNumber), record.Number(FieldId::kStart)};
   // The start time is part of the key because call numbers start again when a softswitch restarts.
   const bool is_new = seen_attempts_.insert(XXH3_64bits(key.data(), sizeof key)).second;
-  if (!is_new && record.Number(Source::kReplay) == static_cast<std::uint64_t>(Replay::kPossiblyRepeated)) {
+  if (!is_new && record.Number(FieldId::kReplay) == static_cast<std::uint64_t>(Replay::kPossiblyRepeated)) {
     ++repeated_;
     return;
   }
-  attempts_.push_back({key[0], record.Number(Source::kGroupOut), key[3], record.Number(Source::kSetUpDelay) > 0,
-                       record.Number(Source::kViaTandem) == 1});
+  attempts_.push_back({key[0], record.Number(FieldId::kGroupOut), key[3], record.Number(FieldId::kSetUpDelay) > 0,
+                       record.Number(FieldId::kViaTandem) == 1});
 }
 
 std::uint64_t AttemptReport::start_ms() const {
--- a/src/flow/shift.h
+++ b/src/flow/attempt_report.h
@@ -1,6 +1,6 @@
 // Outcomes of attempts by trunk group over time, as `croftrun flow report` shows them in a table and a chart. No I/O.
-#ifndef CROFTRUN_FLOW_SHIFT_H_
-#define CROFTRUN_FLOW_SHIFT_H_
+#ifndef CROFTRUN_FLOW_ATTEMPT_REPORT_H_
+#define CROFTRUN_FLOW_ATTEMPT_REPORT_H_
 
 #include <cstdint>
 #include <map>
@@ -65,4 +65,4 @@
 
 }  // namespace croftrun::flow
 
-#endif  // CROFTRUN_FLOW_SHIFT_H_
+#endif  // CROFTRUN_FLOW_ATTEMPT_REPORT_H_
--- a/src/flow/catch_up.h
+++ b/src/flow/catch_up_scheduler.h
@@ -4,8 +4,8 @@
 // Live records go first, so that an outage does not delay current data. Under continuous live traffic one message in
 // kSpoolShare carries spooled records, so that the catch-up still completes. Spooled records are also rate-limited,
 // since all exporters reconnect at once to a collector that comes back after an outage.
-#ifndef CROFTRUN_FLOW_CATCH_UP_H_
-#define CROFTRUN_FLOW_CATCH_UP_H_
+#ifndef CROFTRUN_FLOW_CATCH_UP_SCHEDULER_H_
+#define CROFTRUN_FLOW_CATCH_UP_SCHEDULER_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -14,7 +14,8 @@
 
 struct CatchUpSettings {
   std::uint64_t records_per_s = 20'000;  // rate limit of spooled records
-  std::uint64_t away_us = 1'000'000;     // disconnected for this long, a collector is away: its backlog goes to disk
+  // Disconnected for this long, a collector is away: its backlog goes to disk.
+  std::uint64_t away_timeout_us = 1'000'000;
 };
 
 class CatchUpScheduler {
@@ -50,7 +51,7 @@
   // while connected, it is reduced to half its size before any record is dropped. All once the collector is away.
   std::size_t RecordsToSpill(bool connected, std::uint64_t down_for_us, std::size_t waiting,
                              std::size_t max_queued) const {
-    if (!connected && (down_for_us >= settings_.away_us || waiting >= max_queued / 2)) return waiting;
+    if (!connected && (down_for_us >= settings_.away_timeout_us || waiting >= max_queued / 2)) return waiting;
     if (waiting >= max_queued - max_queued / 4) return waiting - max_queued / 2;
     return 0;
   }
@@ -71,4 +72,4 @@
 
 }  // namespace croftrun::flow
 
-#endif  // CROFTRUN_FLOW_CATCH_UP_H_
+#endif  // CROFTRUN_FLOW_CATCH_UP_SCHEDULER_H_
--- a/src/flow/link_state.cpp
+++ b/src/flow/connection_state.cpp
@@ -1,4 +1,4 @@
-#include "flow/link_state.h"
+#include "flow/connection_state.h"
 
 #include <algorithm>
 
@@ -25,7 +25,7 @@
   phase_ = Phase::kDown;
   unacknowledged_since_.reset();
   backoff_us_ =
-      stable || backoff_us_ == 0 ? settings_.least_wait_us : std::min(settings_.longest_wait_us, backoff_us_ * 2);
+      stable || backoff_us_ == 0 ? settings_.min_backoff_us : std::min(settings_.max_backoff_us, backoff_us_ * 2);
   random_ ^= random_ << 13U;
   random_ ^= random_ >> 7U;
   random_ ^= random_ << 17U;
@@ -50,7 +50,7 @@
 
 std::optional<std::uint64_t> ConnectionState::TimeoutAt() const {
   if (phase_ == Phase::kConnecting) return phase_since_ + settings_.connect_timeout_us;
-  if (phase_ == Phase::kUp && unacknowledged_since_) return *unacknowledged_since_ + settings_.stall_us;
+  if (phase_ == Phase::kUp && unacknowledged_since_) return *unacknowledged_since_ + settings_.stall_timeout_us;
   return std::nullopt;
 }
 
--- a/src/flow/link_state.h
+++ b/src/flow/connection_state.h
@@ -1,7 +1,7 @@
 // State of the connection to one collector: when to connect, when an operation times out, when the connection counts as
 // confirmed. No I/O and no clock: the caller passes the time, so that tests can use a simulated one.
-#ifndef CROFTRUN_FLOW_LINK_STATE_H_
-#define CROFTRUN_FLOW_LINK_STATE_H_
+#ifndef CROFTRUN_FLOW_CONNECTION_STATE_H_
+#define CROFTRUN_FLOW_CONNECTION_STATE_H_
 
 #include <cstdint>
 #include <optional>
@@ -10,10 +10,10 @@
 
 // Back-off and time-outs of the connection to a collector.
 struct ConnectionSettings {
-  std::uint64_t least_wait_us = 250'000;  // before the first reconnect after a failure
-  std::uint64_t longest_wait_us = 30'000'000;
+  std::uint64_t min_backoff_us = 250'000;  // before the first reconnect after a failure
+  std::uint64_t max_backoff_us = 30'000'000;
   std::uint64_t connect_timeout_us = 5'000'000;  // time-out of a connection attempt
-  std::uint64_t stall_us = 10'000'000;           // no acknowledgement for this long: the collector stopped reading, or
+  std::uint64_t stall_timeout_us = 10'000'000;   // no acknowledgement for this long: the collector stopped reading, or
                                                  // the connection is half open
   // Acknowledgements on a connection that breaks sooner do not count. The host of a collector that accepts and resets,
   // or that rejects our certificate after the handshake (TLS 1.3), acknowledges octets that the collector never reads.
@@ -71,4 +71,4 @@
 
 }  // namespace croftrun::flow
 
-#endif  // CROFTRUN_FLOW_LINK_STATE_H_
+#endif  // CROFTRUN_FLOW_CONNECTION_STATE_H_
--- a/src/flow/decode.cpp
+++ b/src/flow/decode.cpp
@@ -43,8 +43,8 @@
   return list;
 }
 
-const DecodedField* DecodedRecord::Find(Source source, std::uint32_t own_enterprise) const {
-  const Element& element = ElementOf(source);
+const DecodedField* DecodedRecord::Find(FieldId id, std::uint32_t own_enterprise) const {
+  const Element& element = ElementOf(id);
   for (const DecodedField& field : fields) {
     const bool v9_enterprise =
         element.enterprise_specific && field.enterprise == 0 && field.id == kV9EnterpriseBase + element.id;
@@ -55,17 +55,17 @@
   return nullptr;
 }
 
-std::uint64_t DecodedRecord::Number(Source source) const {
-  const DecodedField* field = Find(source);
+std::uint64_t DecodedRecord::Number(FieldId id) const {
+  const DecodedField* field = Find(id);
   return field == nullptr ? 0 : ReadUnsigned(field->octets.substr(0, 8));
 }
 
-std::string_view DecodedRecord::Text(Source source) const {
-  const DecodedField* field = Find(source);
+std::string_view DecodedRecord::Text(FieldId id) const {
+  const DecodedField* field = Find(id);
   return field == nullptr ? std::string_view() : field->octets.substr(0, field->octets.find('\0'));
 }
 
-void Decoder::Forget() {
+void Decoder::Reset() {
   templates_.clear();
   next_sequence_.clear();
 }
@@ -76,13 +76,13 @@
   return false;
 }
 
-std::size_t Decoder::LengthOfNext(std::string_view stream) {
+std::size_t Decoder::NextMessageLength(std::string_view stream) {
   if (stream.size() < 4) return 0;
   const std::uint64_t version = ReadAt(stream, 0, 2), length = ReadAt(stream, 2, 2);
   return version != 10 || length < 16 ? 1 : length;  // only IPFIX is sent over streams
 }
 
-bool Decoder::Message(std::string_view octets, const OnRecord& on_record, std::string* error) {
+bool Decoder::DecodeMessage(std::string_view octets, const OnRecord& on_record, std::string* error) {
   if (octets.size() < 16) return Fail(error, "expected a header of 16 octets, found " + std::to_string(octets.size()));
   const std::uint64_t version = ReadAt(octets, 0, 2);
   if (version != 9 && version != 10) return Fail(error, "expected version 9 or 10, found " + std::to_string(version));
--- a/src/flow/decode.h
+++ b/src/flow/decode.h
@@ -27,11 +27,11 @@
   std::uint16_t template_id = 0;
   bool options = false;  // described by an options template
   std::vector<DecodedField> fields;
-  // The field of this source; null if the record has none.
-  const DecodedField* Find(Source source, std::uint32_t own_enterprise = kDocumentationEnterprise) const;
+  // The field with this ID; null if the record has none.
+  const DecodedField* Find(FieldId id, std::uint32_t own_enterprise = kDocumentationEnterprise) const;
   // The value of a field as a number or a text; 0 or empty if the record has no such field.
-  std::uint64_t Number(Source source) const;
-  std::string_view Text(Source source) const;
+  std::uint64_t Number(FieldId id) const;
+  std::string_view Text(FieldId id) const;
 };
 
 // Reads an unsigned number in network byte order.
@@ -50,14 +50,14 @@
 
   // Decodes one whole message. Returns false, with a description in `error`, if it is malformed; records before the
   // fault have been delivered.
-  bool Message(std::string_view octets, const OnRecord& on_record, std::string* error);
+  bool DecodeMessage(std::string_view octets, const OnRecord& on_record, std::string* error);
   // The length of the message at the front of a stream; 0 if more octets are needed to tell. Returns 1 if the stream
   // does not start with a message header, as the rest of the stream then cannot be decoded.
-  static std::size_t LengthOfNext(std::string_view stream);
-  // Counters since construction; Forget leaves them as they are.
+  static std::size_t NextMessageLength(std::string_view stream);
+  // Counters since construction; Reset leaves them as they are.
   const Counters& counters() const { return counters_; }
   // Discards all templates and sequence numbers, like a collecting process that restarts.
-  void Forget();
+  void Reset();
 
  private:
   // A field specifier.
--- a/src/flow/elements.h
+++ b/src/flow/elements.h
@@ -45,7 +45,7 @@
 inline constexpr std::uint16_t kVariableLength = 65'535;
 
 // Identifies the value of a field: what the encoder writes and what a DecodedRecord is searched for.
-enum class Source : std::uint8_t {
+enum class FieldId : std::uint8_t {
   kCall,
   kStart,
   kEnd,
@@ -105,7 +105,7 @@
 
 // A field of a template.
 struct Field {
-  Source source;
+  FieldId id;
   std::uint16_t v9_length;  // in octets; texts are padded with zeros to it; 0: the field is left out of v9
 };
 
@@ -117,7 +117,7 @@
 };
 
 // The information element of a field.
-const Element& ElementOf(Source source);
+const Element& ElementOf(FieldId id);
 // Finds an element by enterprise number (0 for IANA elements) and number. Returns false if it is not one that we
 // export.
 bool FindElement(std::uint32_t enterprise, std::uint16_t id, std::uint32_t own_enterprise, Element* element);
@@ -133,8 +133,8 @@
   kAttemptTemplate = 257,
   kIntervalTemplate = 258,
   kGroupTemplate = 259,
-  kCountsTemplate = 260,
-  kTypesTemplate = 261,
+  kExporterCountsTemplate = 260,
+  kElementTypesTemplate = 261,
   kSamplesTemplate = 262
 };
 
--- a/src/flow/encode.cpp
+++ b/src/flow/encode.cpp
@@ -44,8 +44,8 @@
   for (const Template& layout : Templates()) {
     std::vector<FieldWriter>& writers = field_writers_.emplace_back();
     for (const Field& field : layout.fields) {
-      const DataType type = ElementOf(field.source).type;
-      if (IsIncluded(field)) writers.push_back({field.source, type, LengthOf(type), field.v9_length});
+      const DataType type = ElementOf(field.id).type;
+      if (IsIncluded(field)) writers.push_back({field.id, type, LengthOf(type), field.v9_length});
     }
   }
 }
@@ -85,7 +85,7 @@
 }
 
 void Encoder::PutSpecifier(const Field& field) {
-  const Element& element = ElementOf(field.source);
+  const Element& element = ElementOf(field.id);
   if (settings_.protocol == Protocol::kNetflow9) {
     Put(element.enterprise_specific ? kV9EnterpriseBase + element.id : element.id, 2);
     Put(field.v9_length, 2);
@@ -145,7 +145,7 @@
 std::size_t Encoder::AddElementTypes(std::size_t from) {
   for (; from < element_type_count(); ++from) {
     const ElementInfo info{EnterpriseElements()[from], settings_.enterprise};
-    if (!AddData(Templates()[kTypesTemplate - kCallTemplate], {nullptr, nullptr, &info, nullptr})) break;
+    if (!AddData(Templates()[kElementTypesTemplate - kCallTemplate], {nullptr, nullptr, &info, nullptr})) break;
   }
   return from;
 }
@@ -155,7 +155,7 @@
 }
 
 bool Encoder::AddCounts(const ExportCounts& counts) {
-  return AddData(Templates()[kCountsTemplate - kCallTemplate], {nullptr, &counts, nullptr, nullptr});
+  return AddData(Templates()[kExporterCountsTemplate - kCallTemplate], {nullptr, &counts, nullptr, nullptr});
 }
 
 bool Encoder::AddSamples(const SampleCounts& samples) {
@@ -173,113 +173,113 @@
   return true;
 }
 
-std::uint64_t Encoder::Number(Source source, const Values& values) const {
+std::uint64_t Encoder::Number(FieldId id, const Values& values) const {
   const auto as_unsigned = [](std::int32_t number) {
     return static_cast<std::uint64_t>(static_cast<std::uint32_t>(number));
   };
   if (values.info != nullptr) {
-    switch (source) {
-      case Source::kInfoEnterprise:
+    switch (id) {
+      case FieldId::kInfoEnterprise:
         return values.info->enterprise;
-      case Source::kInfoElement:
+      case FieldId::kInfoElement:
         return values.info->element.id | kEnterpriseBit;
-      case Source::kInfoType:
+      case FieldId::kInfoType:
         return static_cast<std::uint64_t>(values.info->element.type);
-      case Source::kInfoSemantics:
+      case FieldId::kInfoSemantics:
         return static_cast<std::uint64_t>(values.info->element.semantics);
       default:
         return 0;
     }
   }
   if (values.counts != nullptr) {
-    switch (source) {
-      case Source::kExchange:
+    switch (id) {
+      case FieldId::kExchange:
         return settings_.observation_domain;
-      case Source::kExportedRecords:
+      case FieldId::kExportedRecords:
         return values.counts->exported;
-      case Source::kNotSent:
+      case FieldId::kNotSent:
         return values.counts->not_sent;
-      case Source::kRingFull:
+      case FieldId::kRingFull:
         return values.counts->ring_full;
-      case Source::kQueueFull:
+      case FieldId::kQueueFull:
         return values.counts->queue_full;
-      case Source::kSpoolFull:
+      case FieldId::kSpoolFull:
         return values.counts->spool_full;
-      case Source::kSendFailed:
+      case FieldId::kSendFailed:
         return values.counts->send_failed;
       default:
         return 0;
     }
   }
   if (values.samples != nullptr) {
-    if (source == Source::kSelectorAlgorithm) return kHashBased;
-    if (source == Source::kExchange) return settings_.observation_domain;
-    return source == Source::kObserved ? values.samples->observed : values.samples->selected;
+    if (id == FieldId::kSelectorAlgorithm) return kHashBased;
+    if (id == FieldId::kExchange) return settings_.observation_domain;
+    return id == FieldId::kObserved ? values.samples->observed : values.samples->selected;
   }
   const FlowRecord& r = *values.record;
-  switch (source) {
-    case Source::kCall:
+  switch (id) {
+    case FieldId::kCall:
       return r.call;
-    case Source::kStart:
+    case FieldId::kStart:
       return r.start_ms;
-    case Source::kEnd:
+    case FieldId::kEnd:
       return r.end_ms;
-    case Source::kDuration:
+    case FieldId::kDuration:
       return r.end_ms - r.start_ms;
-    case Source::kEndReason:
+    case FieldId::kEndReason:
       return static_cast<std::uint64_t>(r.end_reason);
-    case Source::kGroupIn:
+    case FieldId::kGroupIn:
       return as_unsigned(r.group_in);
-    case Source::kGroupOut:
-    case Source::kDestination:
+    case FieldId::kGroupOut:
+    case FieldId::kDestination:
       return as_unsigned(r.destination);
-    case Source::kExchange:
+    case FieldId::kExchange:
       return r.exchange;
-    case Source::kOrigin:
+    case FieldId::kOrigin:
       return as_unsigned(r.origin);
-    case Source::kCustomer:
+    case FieldId::kCustomer:
       return r.customer;
-    case Source::kFinalAnswer:
+    case FieldId::kFinalAnswer:
       return r.answer;
-    case Source::kOutcome:
+    case FieldId::kOutcome:
       return r.outcome;
-    case Source::kCause:
+    case FieldId::kCause:
       return r.cause;
-    case Source::kSetUpDelay:
+    case FieldId::kSetUpDelay:
       return r.set_up_delay_us;
-    case Source::kAttempts:
-    case Source::kAttemptNumber:
+    case FieldId::kAttempts:
+    case FieldId::kAttemptNumber:
       return r.attempts;
-    case Source::kViaTandem:
+    case FieldId::kViaTandem:
       return r.tandem ? 1 : 2;  // true is 1 and false is 2 (RFC 7011 6.1.5)
-    case Source::kInTransit:
+    case FieldId::kInTransit:
       return r.in_transit ? 1 : 2;
-    case Source::kWidth:
+    case FieldId::kWidth:
       return r.width;
-    case Source::kPriority:
+    case FieldId::kPriority:
       return r.priority;
-    case Source::kRulesVersion:
+    case FieldId::kRulesVersion:
       return r.rules_version;
-    case Source::kAttemptsSent:
+    case FieldId::kAttemptsSent:
       return r.sent;
-    case Source::kAttemptsEstablished:
+    case FieldId::kAttemptsEstablished:
       return r.established;
-    case Source::kAttemptsRejected:
+    case FieldId::kAttemptsRejected:
       return r.rejected;
-    case Source::kAttemptsLost:
+    case FieldId::kAttemptsLost:
       return r.lost;
-    case Source::kReplay:
+    case FieldId::kReplay:
       return static_cast<std::uint64_t>(r.replay);
     default:
       return 0;
   }
 }
 
-std::string_view Encoder::Text(Source source, const Values& values) const {
+std::string_view Encoder::Text(FieldId id, const Values& values) const {
   if (values.info != nullptr)
-    return source == Source::kInfoName ? values.info->element.name : values.info->element.description;
-  if (source == Source::kCalled) return values.record->called.text();
-  if (source == Source::kCalling) return values.record->calling.text();
+    return id == FieldId::kInfoName ? values.info->element.name : values.info->element.description;
+  if (id == FieldId::kCalled) return values.record->called.text();
+  if (id == FieldId::kCalling) return values.record->calling.text();
   const std::size_t call_class = values.record->call_class;
   return call_class < settings_.classes.size() ? std::string_view(settings_.classes[call_class]) : std::string_view();
 }
@@ -304,7 +304,7 @@
 }
 
 void Encoder::PutField(const FieldWriter& writer, const Values& values) {
-  if (writer.type == DataType::kString) return PutText(Text(writer.source, values), writer.v9_length);
+  if (writer.type == DataType::kString) return PutText(Text(writer.id, values), writer.v9_length);
   if (writer.type == DataType::kBasicList) {
     // The exchanges that the attempts were sent to, in order, as a list of egressInterface (RFC 6313 4.5.1).
     const FlowRecord& r = *values.record;
@@ -312,12 +312,12 @@
     Put(255, 1);
     Put(5 + 4 * count, 2);
     Put(kSemanticOrdered, 1);
-    Put(ElementOf(Source::kGroupOut).id, 2);
+    Put(ElementOf(FieldId::kGroupOut).id, 2);
     Put(4, 2);
     for (std::size_t i = 0; i < count; ++i) Put(static_cast<std::uint32_t>(r.attempted_exchanges[i]), 4);
     return;
   }
-  Put(Number(writer.source, values), writer.length);
+  Put(Number(writer.id, values), writer.length);
 }
 
 const std::string& Encoder::FinishMessage(std::uint32_t unix_s, std::uint32_t up_ms) {
--- a/src/flow/encode.h
+++ b/src/flow/encode.h
@@ -75,7 +75,7 @@
   };
   // How a field of a template is written, looked up once.
   struct FieldWriter {
-    Source source;
+    FieldId id;
     DataType type;
     std::uint16_t length, v9_length;
   };
@@ -86,8 +86,8 @@
   void PutOctets(std::string_view octets);
   void PutField(const FieldWriter& writer, const Values& values);
   void PutText(std::string_view text, std::uint16_t v9_length);
-  std::uint64_t Number(Source source, const Values& values) const;
-  std::string_view Text(Source source, const Values& values) const;
+  std::uint64_t Number(FieldId id, const Values& values) const;
+  std::string_view Text(FieldId id, const Values& values) const;
   void PutSpecifier(const Field& field);
   void PutOptionsTemplate(const Template& layout);
   bool IsIncluded(const Field& field) const { return settings_.protocol == Protocol::kIpfix || field.v9_length > 0; }
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -95,8 +95,8 @@
         settings_(settings),
         ring_(ring),
         on_event_(on_event),
-        backlog_(settings.queue),
-        connection_state_(settings.link, seed),
+        backlog_(settings.max_queued_records),
+        connection_state_(settings.connection, seed),
         catch_up_(settings.catch_up),
         tls_keys_(settings.tls),
         udp_(context),
@@ -104,7 +104,7 @@
         started_at_(NowUs()),
         down_since_(started_at_),
         encoder_(EncoderSettings{settings.protocol, exporter_settings.exchange, exporter_settings.enterprise,
-                                 settings.most_octets, exporter_settings.classes}) {
+                                 settings.max_message_octets, exporter_settings.classes}) {
     if (!settings.spool) return;
     spool_.emplace(*settings.spool, disk);
     if (const std::error_code error = spool_->Open())
@@ -455,7 +455,8 @@
 
   bool AreTemplatesDue() const {
     if (templates_sent_at_ == 0) return true;
-    return settings_.transport == Transport::kUdp && NowUs() - templates_sent_at_ >= settings_.template_refresh_us;
+    return settings_.transport == Transport::kUdp &&
+           NowUs() - templates_sent_at_ >= settings_.template_refresh_interval_us;
   }
 
   // Sends the next message. Returns false if there is nothing to send yet.
@@ -504,7 +505,7 @@
     if (spool_) spool_lost = spool_->counters().dropped_full + spool_->counters().damaged;
     encoder_.AddCounts({sent_, ring_.dropped() + backlog_.dropped() + spool_lost + send_failed_, ring_.dropped(),
                         backlog_.dropped(), spool_lost, send_failed_});
-    if (exporter_settings_.sample > 1) encoder_.AddSamples(sample_counts_);
+    if (exporter_settings_.sample_one_in > 1) encoder_.AddSamples(sample_counts_);
   }
 
   asio::awaitable<bool> SendMessage(std::vector<FlowRecord> records) {
@@ -602,8 +603,8 @@
       collectors_.push_back(std::make_unique<CollectorSession>(context_, settings_, collector, *ring_, disk, on_event_,
                                                                ++seed * 0x9e3779b97f4a7c15U));
     sums_started_at_ = WallMs();
-    sums_due_ = NowUs() + settings_.group_us;
-    counts_due_ = NowUs() + settings_.counts_us;
+    sums_due_ = NowUs() + settings_.group_interval_us;
+    counts_due_ = NowUs() + settings_.counts_interval_us;
     PublishMetrics();
   }
 
@@ -635,7 +636,7 @@
     const bool last = stopping && taken < kMaxRecordsPerPoll;
     if (now >= sums_due_ || (last && !stopped_at_)) QueueGroupSums(now);
     if (now >= counts_due_ || (last && !stopped_at_)) {
-      counts_due_ = now + settings_.counts_us;
+      counts_due_ = now + settings_.counts_interval_us;
       for (const auto& collector : collectors_) collector->ScheduleCounts(sample_counts_);
       taken = std::max<std::size_t>(taken, 1);
     }
@@ -665,12 +666,12 @@
   // Hash-based flow selection (RFC 7014 5.2): the hash of the call selects all attempts and intervals of a call or
   // none. Call records are always exported.
   bool IsSelected(const FlowRecord& record) {
-    if (settings_.sample <= 1 || (record.kind != RecordKind::kAttempt && record.kind != RecordKind::kInterval))
+    if (settings_.sample_one_in <= 1 || (record.kind != RecordKind::kAttempt && record.kind != RecordKind::kInterval))
       return true;
     ++sample_counts_.observed;
     std::uint64_t hash = (record.call + 0x9e3779b97f4a7c15U) * 0xbf58476d1ce4e5b9U;
     hash ^= hash >> 32U;
-    if (hash % settings_.sample != 0) return false;
+    if (hash % settings_.sample_one_in != 0) return false;
     ++sample_counts_.selected;
     return true;
   }
@@ -701,7 +702,7 @@
     }
     sums_.clear();
     sums_started_at_ = wall;
-    sums_due_ = now + settings_.group_us;
+    sums_due_ = now + settings_.group_interval_us;
   }
 
   void PublishMetrics() {
@@ -737,6 +738,6 @@
   if (thread_.joinable()) thread_.join();
 }
 
-std::vector<CollectorMetrics> Exporter::Figures() const { return worker_->Metrics(); }
+std::vector<CollectorMetrics> Exporter::Metrics() const { return worker_->Metrics(); }
 
 }  // namespace croftrun::flow
--- a/src/flow/exporter.h
+++ b/src/flow/exporter.h
@@ -18,9 +18,9 @@
 
 #include "core/disk.h"
 #include "core/runtime.h"
-#include "flow/catch_up.h"
+#include "flow/catch_up_scheduler.h"
+#include "flow/connection_state.h"
 #include "flow/encode.h"
-#include "flow/link_state.h"
 #include "flow/ring.h"
 #include "flow/spool.h"
 #include "flow/tls_files.h"
@@ -35,10 +35,10 @@
   core::Address address;
   Transport transport = Transport::kUdp;
   Protocol protocol = Protocol::kIpfix;
-  std::size_t queue = 16'384;                      // records waiting for the collector at most
-  std::size_t most_octets = 1400;                  // largest message
-  std::uint64_t template_refresh_us = 30'000'000;  // over UDP, where a template may be lost
-  ConnectionSettings link;
+  std::size_t max_queued_records = 16'384;                  // records waiting for the collector at most
+  std::size_t max_message_octets = 1400;                    // largest message
+  std::uint64_t template_refresh_interval_us = 30'000'000;  // over UDP, where a template may be lost
+  ConnectionSettings connection;
   TlsFiles tls;                        // for Transport::kTls
   std::optional<SpoolSettings> spool;  // without a spool, records that the queue cannot hold are dropped
   CatchUpSettings catch_up;
@@ -50,10 +50,10 @@
   std::uint32_t enterprise = kDocumentationEnterprise;
   std::vector<std::string> classes;  // names of the call classes, by number
   std::vector<CollectorSettings> collectors;
-  std::uint64_t poll_interval_us = 5'000;  // interval of emptying the ring
-  std::uint64_t group_us = 10'000'000;     // interval of the sums by trunk group
-  std::uint64_t counts_us = 10'000'000;    // interval of the exporter's own counters
-  std::uint32_t sample = 1;                // attempts and intervals are exported for one call in this many
+  std::uint64_t poll_interval_us = 5'000;         // interval of emptying the ring
+  std::uint64_t group_interval_us = 10'000'000;   // interval of the sums by trunk group
+  std::uint64_t counts_interval_us = 10'000'000;  // interval of the exporter's own counters
+  std::uint32_t sample_one_in = 1;                // attempts and intervals are exported for one call in this many
   std::uint64_t certificate_check_interval_us = 1'000'000;  // interval of checking the certificates
   std::uint64_t shutdown_timeout_us = 2'000'000;            // on shutdown, time for sending what still waits
   std::uint64_t seed = 1;
@@ -88,7 +88,7 @@
   // again.
   void Stop();
   // The present metrics of each collector, in the order of the settings. Safe to call from any thread.
-  std::vector<CollectorMetrics> Figures() const;
+  std::vector<CollectorMetrics> Metrics() const;
 
  private:
   class Worker;
--- a/src/flow/recorder.cpp
+++ b/src/flow/recorder.cpp
@@ -40,7 +40,7 @@
   if (record.outcome != Outcome::kOk) flow.end_reason = EndReason::kForced;
   SetTimes(record.sent_at, record.ended_at, &flow);
   const auto found = tracked_calls_.find(record.call);
-  if (found != tracked_calls_.end() || tracked_calls_.size() < settings_.most_open) {
+  if (found != tracked_calls_.end() || tracked_calls_.size() < settings_.max_tracked_calls) {
     TrackedCall& tracked = found != tracked_calls_.end() ? found->second : tracked_calls_[record.call];
     if (tracked.attempts < tracked.attempted_exchanges.size())
       tracked.attempted_exchanges[tracked.attempts] = record.to;
@@ -67,7 +67,7 @@
 
 void Recorder::OnEstablished(const core::CallRecord& record) {
   const auto found = tracked_calls_.find(record.call);
-  if (found == tracked_calls_.end() && tracked_calls_.size() >= settings_.most_open)
+  if (found == tracked_calls_.end() && tracked_calls_.size() >= settings_.max_tracked_calls)
     return;  // the call is reported at its end only
   TrackedCall& tracked = found != tracked_calls_.end() ? found->second : tracked_calls_[record.call];
   tracked.interval.kind = RecordKind::kInterval;
--- a/src/flow/recorder.h
+++ b/src/flow/recorder.h
@@ -12,8 +12,8 @@
 
 struct RecorderSettings {
   std::uint32_t exchange = 0;
-  TimeUs interval_us = 60'000'000;  // how often an established call is reported; 0: never
-  std::size_t most_open = 20'000;   // limit on the calls tracked at a time
+  TimeUs interval_us = 60'000'000;         // how often an established call is reported; 0: never
+  std::size_t max_tracked_calls = 20'000;  // limit on the calls tracked at a time
 };
 
 class Recorder final : public core::CallObserver {
--- a/src/flow/spool.cpp
+++ b/src/flow/spool.cpp
@@ -126,7 +126,7 @@
     std::string octets;
     const std::error_code read_error =
         disk_->Read(SegmentPath(rank, segment.number, "seg"),
-                    settings_.segment_octets + kMaxContentOctets + kHeaderOctets, &octets);
+                    settings_.max_segment_octets + kMaxContentOctets + kHeaderOctets, &octets);
     if (read_error) {
       // An unreadable segment is left in place, so that it can be examined.
       last_error_ = read_error;
@@ -155,7 +155,7 @@
 void Spool::RecordWriteError(const std::error_code& error, std::uint64_t now) {
   ++counters_.errors;
   last_error_ = error;
-  retry_at_ = now + settings_.retry_us;
+  retry_at_ = now + settings_.retry_delay_us;
 }
 
 // Removes the oldest segment of a rank.
@@ -171,7 +171,7 @@
 }
 
 bool Spool::MakeRoom(std::size_t rank, std::uint64_t octets) {
-  while (octets_ + octets > settings_.most_octets) {
+  while (octets_ + octets > settings_.max_octets) {
     std::size_t least_important = kRecordKinds;
     while (least_important > rank && segments_[least_important - 1].empty()) --least_important;
     if (least_important == rank || segments_[least_important - 1].empty()) return false;
@@ -189,7 +189,7 @@
     return true;
   }
   // This has to follow MakeRoom, which may have removed the segment being written.
-  if (open_files_[rank] == nullptr || segments_[rank].back().octets >= settings_.segment_octets) {
+  if (open_files_[rank] == nullptr || segments_[rank].back().octets >= settings_.max_segment_octets) {
     SyncFiles();
     std::error_code error;
     open_files_[rank] = disk_->Open(SegmentPath(rank, next_number_, "seg"), &error);
@@ -235,7 +235,7 @@
 }
 
 void Spool::SyncIfDue(std::uint64_t now) {
-  if (unsynced_ && now >= unsynced_since_ + settings_.sync_us) SyncFiles();
+  if (unsynced_ && now >= unsynced_since_ + settings_.sync_interval_us) SyncFiles();
 }
 
 // Loads the next segment for sending. Returns false if there is none.
@@ -250,7 +250,7 @@
                         position_path = SegmentPath(rank, segment.number, "at");
       std::string octets, position;
       if (const std::error_code error =
-              disk_->Read(path, settings_.segment_octets + kMaxContentOctets + kHeaderOctets, &octets)) {
+              disk_->Read(path, settings_.max_segment_octets + kMaxContentOctets + kHeaderOctets, &octets)) {
         ++counters_.errors;
         last_error_ = error;
         counters_.damaged += segment.records;
--- a/src/flow/spool.h
+++ b/src/flow/spool.h
@@ -23,10 +23,11 @@
 
 struct SpoolSettings {
   std::string folder;  // of this spool alone
-  std::uint64_t most_octets = std::uint64_t{256} << 20U;
-  std::uint64_t segment_octets = std::uint64_t{1} << 20U;  // a segment this long is closed; it holds at least one frame
-  std::uint64_t sync_us = 1'000'000;   // fsync interval: a machine crash loses this much, besides the memory
-  std::uint64_t retry_us = 5'000'000;  // delay before the next write after one failed
+  std::uint64_t max_octets = std::uint64_t{256} << 20U;
+  // A segment this long is closed; it holds at least one frame.
+  std::uint64_t max_segment_octets = std::uint64_t{1} << 20U;
+  std::uint64_t sync_interval_us = 1'000'000;  // fsync interval: a machine crash loses this much, besides the memory
+  std::uint64_t retry_delay_us = 5'000'000;    // delay before the next write after one failed
 };
 
 class Spool {
@@ -49,7 +50,7 @@
 
   // Opens the folder and finds the records that an earlier run left. After an error the spool stays unusable.
   std::error_code Open();
-  // False before Open, after Close, and for `retry_us` after a write failed.
+  // False before Open, after Close, and for `retry_delay_us` after a write failed.
   bool IsWritable(std::uint64_t now) const { return opened_ && now >= retry_at_; }
   // Writes records of one rank in order, at most kMaxFrameRecords. Returns false if the disk did not accept them; the
   // caller then keeps them. If the spool is full, the oldest segment of the least important rank is removed. If all
--- a/src/lab/doors.cpp
+++ b/src/lab/admission_comparison.cpp
@@ -1,4 +1,4 @@
-#include "lab/doors.h"
+#include "lab/admission_comparison.h"
 
 #include <algorithm>
 #include <deque>
@@ -110,15 +110,15 @@
   admission::AdmissionController controller_;
 };
 
-std::unique_ptr<AdmissionPolicy> MakePolicy(const std::string& name, const DoorsSettings& s) {
+std::unique_ptr<AdmissionPolicy> MakePolicy(const std::string& name, const ComparisonSettings& s) {
   if (name == "none") return std::make_unique<NoAdmissionControl>();
   if (name == "fifo") return std::make_unique<FifoPolicy>(static_cast<std::size_t>(s.concurrency));
   if (name == "token bucket")
     return std::make_unique<TokenBucketPolicy>(s.concurrency * 1e6 / static_cast<double>(s.set_up_us));
   if (name != "fair") throw std::invalid_argument("expected fair, fifo, token bucket or none, found " + name);
   admission::AdmissionSettings settings;
-  settings.limiter.first = s.concurrency;
-  settings.longest_pause_us = 10 * kSecond;
+  settings.limiter.initial_limit = s.concurrency;
+  settings.max_retry_after_us = 10 * kSecond;
   settings.customers = {{}, {}};
   settings.secret = s.seed * 0x9e3779b97f4a7c15U;
   return std::make_unique<FairPolicy>(settings);
@@ -127,12 +127,12 @@
 // One run of the traffic against one policy.
 class PolicyRun {
  public:
-  PolicyRun(const std::string& name, const DoorsSettings& settings)
+  PolicyRun(const std::string& name, const ComparisonSettings& settings)
       : settings_(settings), policy_(MakePolicy(name, settings)), random_(settings.seed) {
-    result_.door = name;
+    result_.policy = name;
   }
 
-  DoorFigures Run() {
+  PolicyResult Run() {
     for (int i = 0; i < settings_.quiet_clients; ++i)
       clients_.push_back({"quiet " + std::to_string(i), 1, settings_.quiet_per_s, 2.0, false});
     for (int i = 0; i < settings_.crowd_clients; ++i)
@@ -201,7 +201,7 @@
   void ApplyDecisions(const std::function<void(std::vector<admission::AdmissionDecision>*)>& action) {
     std::vector<admission::AdmissionDecision> decisions;
     action(&decisions);
-    result_.most_waiting = std::max<std::uint64_t>(result_.most_waiting, policy_->waiting());
+    result_.max_queued = std::max<std::uint64_t>(result_.max_queued, policy_->waiting());
     for (const admission::AdmissionDecision& decision : decisions) {
       const auto found = attempts_.find(decision.call);
       if (found == attempts_.end()) continue;
@@ -225,13 +225,13 @@
   void Refused(const admission::AdmissionDecision& decision, const Attempt& attempt) {
     if (attempt.client < 0 || attempt.redials == 0) return;
     const bool has_reservation = decision.has_reservation;
-    const TimeUs delay = decision.pause_us > 0 ? decision.pause_us : 300'000;
+    const TimeUs delay = decision.retry_after_us > 0 ? decision.retry_after_us : 300'000;
     Schedule(delay, [this, attempt, has_reservation] {
       reserved_retries_ += has_reservation ? 1 : 0;
       Dial(attempt.client, attempt.called, attempt.redials - 1, has_reservation, attempt.counted);
     });
   }
-  DoorFigures Result() {
+  PolicyResult Result() {
     double worth = 0.0;
     std::uint64_t calls[2] = {}, answered[2] = {};
     result_.worst_client = 1.0;
@@ -252,20 +252,20 @@
     result_.crowd_share = share(1);
     std::sort(waits_us_.begin(), waits_us_.end());
     if (!waits_us_.empty()) result_.p99_wait_ms = static_cast<double>(waits_us_[waits_us_.size() * 99 / 100]) / 1000.0;
-    result_.told_kept = reserved_retries_ > 0
-                            ? static_cast<double>(reserved_retries_answered_) / static_cast<double>(reserved_retries_)
-                            : -1.0;
+    result_.reservations_kept =
+        reserved_retries_ > 0 ? static_cast<double>(reserved_retries_answered_) / static_cast<double>(reserved_retries_)
+                              : -1.0;
     return result_;
   }
 
-  const DoorsSettings settings_;
+  const ComparisonSettings settings_;
   sim::VirtualRuntime clock_{1};
   std::unique_ptr<AdmissionPolicy> policy_;
   std::mt19937_64 random_;
   std::vector<Client> clients_;
   std::unordered_map<CallId, Attempt> attempts_;
   std::vector<TimeUs> waits_us_;
-  DoorFigures result_;
+  PolicyResult result_;
   TimeUs flood_start_ = 0, flood_end_ = 0;
   std::uint64_t called_numbers_ = 0, reserved_retries_ = 0, reserved_retries_answered_ = 0;
   CallId calls_ = 0;
@@ -274,28 +274,28 @@
 
 }  // namespace
 
-const std::vector<std::string>& DoorNames() {
+const std::vector<std::string>& PolicyNames() {
   static const std::vector<std::string> kNames = {"fair", "fifo", "token bucket", "none"};
   return kNames;
 }
 
-DoorFigures PlayDoor(const std::string& policy, const DoorsSettings& settings) {
+PolicyResult RunPolicy(const std::string& policy, const ComparisonSettings& settings) {
   return PolicyRun(policy, settings).Run();
 }
 
-std::string DoorsPicture(const DoorsCurve& curve) {
+std::string RenderComparison(const ComparisonCurves& curve) {
   constexpr const char* kColours[] = {"#1b6ca8", "#c0392b", "#b8860b", "#7f8c8d"};
   constexpr double kLeft = 60, kWidth = 360, kTop = 30, kHeight = 200, kGap = 90;
   std::string out =
       "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 920 300\" width=\"920\" "
       "font-family=\"sans-serif\" font-size=\"11\">\n";
-  const double max_flood = std::max(1.0, curve.floods.empty() ? 1.0 : curve.floods.back());
+  const double max_flood = std::max(1.0, curve.flood_rates.empty() ? 1.0 : curve.flood_rates.back());
   for (int panel = 0; panel < 2; ++panel) {
     const double left = kLeft + panel * (kWidth + kGap);
-    const auto value = [&](const DoorFigures& f) { return panel == 0 ? f.goodput : f.quiet_share; };
+    const auto value = [&](const PolicyResult& f) { return panel == 0 ? f.goodput : f.quiet_share; };
     double max_value = panel == 0 ? 1e-9 : 1.0;
-    for (const auto& policy : curve.by_door) {
-      for (const DoorFigures& f : policy) max_value = std::max(max_value, value(f));
+    for (const auto& policy : curve.by_policy) {
+      for (const PolicyResult& f : policy) max_value = std::max(max_value, value(f));
     }
     Print(&out, "<text x=\"%.0f\" y=\"18\" font-size=\"13\">%s</text>\n", left,
           panel == 0 ? "Worth per second, without the flood's calls" : "Share of quiet clients' calls in time");
@@ -304,19 +304,19 @@
           "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"end\">%.3g</text><text x=\"%.0f\" y=\"%.0f\" "
           "text-anchor=\"end\">0</text>\n",
           left - 4, kTop + 8, max_value, left - 4, kTop + kHeight);
-    for (const double flood : curve.floods)
+    for (const double flood : curve.flood_rates)
       Print(&out, "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n", left + kWidth * flood / max_flood,
             kTop + kHeight + 14, flood);
-    for (std::size_t p = 0; p < curve.by_door.size(); ++p) {
+    for (std::size_t p = 0; p < curve.by_policy.size(); ++p) {
       std::string path;
-      for (std::size_t i = 0; i < curve.floods.size(); ++i)
-        Print(&path, "%c%.1f %.1f", i == 0 ? 'M' : 'L', left + kWidth * curve.floods[i] / max_flood,
-              kTop + kHeight * (1.0 - value(curve.by_door[p][i]) / max_value));
+      for (std::size_t i = 0; i < curve.flood_rates.size(); ++i)
+        Print(&path, "%c%.1f %.1f", i == 0 ? 'M' : 'L', left + kWidth * curve.flood_rates[i] / max_flood,
+              kTop + kHeight * (1.0 - value(curve.by_policy[p][i]) / max_value));
       Print(&out, "<path d=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"1.6\"/>\n", path.c_str(),
             kColours[p % std::size(kColours)]);
-      if (!curve.by_door[p].empty())
+      if (!curve.by_policy[p].empty())
         Print(&out, "<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", left + 85.0 * static_cast<double>(p),
-              kTop + kHeight + 48, kColours[p % std::size(kColours)], curve.by_door[p][0].door.c_str());
+              kTop + kHeight + 48, kColours[p % std::size(kColours)], curve.by_policy[p][0].policy.c_str());
     }
     Print(&out, "<text x=\"%.0f\" y=\"%.0f\">made-up identities per second</text>\n", left, kTop + kHeight + 30);
   }
--- a/src/lab/doors.h
+++ b/src/lab/admission_comparison.h
@@ -1,7 +1,7 @@
 // Comparison of admission policies under a flood of calls from made-up identities. Every policy gets the same traffic
 // and the same network. Runs on virtual time; used for docs/door.md.
-#ifndef CROFTRUN_LAB_DOORS_H_
-#define CROFTRUN_LAB_DOORS_H_
+#ifndef CROFTRUN_LAB_ADMISSION_COMPARISON_H_
+#define CROFTRUN_LAB_ADMISSION_COMPARISON_H_
 
 #include <cstdint>
 #include <string>
@@ -12,7 +12,7 @@
 namespace croftrun::lab {
 
 // Traffic, network and duration of a comparison.
-struct DoorsSettings {
+struct ComparisonSettings {
   std::uint64_t seed = 1;
   // The network behind admission control: up to `concurrency` set-ups at once take `set_up_us` each; beyond that, the
   // time grows in proportion.
@@ -29,31 +29,31 @@
 };
 
 // Result of one policy at one flood rate.
-struct DoorFigures {
-  std::string door;
+struct PolicyResult {
+  std::string policy;
   double goodput = 0.0;  // worth per second of the calls answered in time during the flood, without those of the flood
   double quiet_share = 0.0;   // share of the quiet clients' calls answered in time
   double worst_client = 0.0;  // the same for the worst-served quiet client
   double crowd_share = 0.0;
   double p99_wait_ms = 0.0;  // time that admitted calls waited
   // Share of the retries at a reserved time that were answered in time; -1: there was no such retry.
-  double told_kept = 0.0;
-  std::uint64_t most_waiting = 0;
+  double reservations_kept = 0.0;
+  std::uint64_t max_queued = 0;
 };
 
 // Names of the policies: fair, fifo, token bucket, none.
-const std::vector<std::string>& DoorNames();
+const std::vector<std::string>& PolicyNames();
 // Runs the comparison's traffic against one policy. Throws std::invalid_argument for an unknown name.
-DoorFigures PlayDoor(const std::string& policy, const DoorsSettings& settings);
+PolicyResult RunPolicy(const std::string& policy, const ComparisonSettings& settings);
 
 // Results over the flood rate, for each policy.
-struct DoorsCurve {
-  std::vector<double> floods;                     // calls per second, ascending
-  std::vector<std::vector<DoorFigures>> by_door;  // [policy][flood]
+struct ComparisonCurves {
+  std::vector<double> flood_rates;                   // calls per second, ascending
+  std::vector<std::vector<PolicyResult>> by_policy;  // [policy][flood]
 };
 // Returns an SVG chart of the goodput and of the quiet clients' share over the flood rate.
-std::string DoorsPicture(const DoorsCurve& curve);
+std::string RenderComparison(const ComparisonCurves& curve);
 
 }  // namespace croftrun::lab
 
-#endif  // CROFTRUN_LAB_DOORS_H_
+#endif  // CROFTRUN_LAB_ADMISSION_COMPARISON_H_
--- a/src/lab/collector.cpp
+++ b/src/lab/collector.cpp
@@ -74,7 +74,7 @@
       socket.set_option(asio::socket_base::linger(true, 0));
       continue;
     }
-    decoder_.Forget();  // templates are of their connection
+    decoder_.Reset();  // templates are of their connection
     if (mode == Mode::kStall) {
       socket.set_option(asio::socket_base::receive_buffer_size(4096));
       while (running_) std::this_thread::sleep_for(kNap);
@@ -133,7 +133,7 @@
     std::size_t taken = 0;
     while (true) {
       const std::string_view rest = std::string_view(received).substr(taken);
-      const std::size_t length = flow::Decoder::LengthOfNext(rest);
+      const std::size_t length = flow::Decoder::NextMessageLength(rest);
       if (length == 0 || length > rest.size()) break;
       Take(rest.substr(0, length));
       taken += length;
@@ -153,21 +153,21 @@
 
 void Collector::Take(std::string_view message) {
   if (on_message_) on_message_(message);
-  decoder_.Message(
+  decoder_.DecodeMessage(
       message,
       [this](const flow::DecodedRecord& record) {
         calls += record.template_id == flow::kCallTemplate ? 1 : 0;
         attempts += record.template_id == flow::kAttemptTemplate ? 1 : 0;
-        set_ups += record.template_id == flow::kAttemptTemplate && record.Number(flow::Source::kWidth) > 0 ? 1 : 0;
+        set_ups += record.template_id == flow::kAttemptTemplate && record.Number(flow::FieldId::kWidth) > 0 ? 1 : 0;
         groups += record.template_id == flow::kGroupTemplate ? 1 : 0;
         intervals += record.template_id == flow::kIntervalTemplate ? 1 : 0;
-        types += record.template_id == flow::kTypesTemplate ? 1 : 0;
-        if (record.template_id == flow::kCountsTemplate) {
-          told_not_sent = record.Number(flow::Source::kNotSent);
-          told_exported = record.Number(flow::Source::kExportedRecords);
+        types += record.template_id == flow::kElementTypesTemplate ? 1 : 0;
+        if (record.template_id == flow::kExporterCountsTemplate) {
+          told_not_sent = record.Number(flow::FieldId::kNotSent);
+          told_exported = record.Number(flow::FieldId::kExportedRecords);
         }
         if (record.template_id == flow::kCallTemplate || record.template_id == flow::kAttemptTemplate) {
-          const std::uint64_t replay = record.Number(flow::Source::kReplay);
+          const std::uint64_t replay = record.Number(flow::FieldId::kReplay);
           spooled += replay == static_cast<std::uint64_t>(flow::Replay::kSpooled) ? 1 : 0;
           if (replay != 0)
             last_old_us = std::chrono::duration_cast<std::chrono::microseconds>(
--- a/src/lab/gateway.cpp
+++ b/src/lab/gateway.cpp
@@ -70,7 +70,7 @@
   std::string events = "L/hd";
   for (const char digit : digits) events += std::string(", D/") + digit;
   std::string patience;
-  Writer(&patience).Line(wire_names::kPatience, std::to_string(line.patience_us / 1000));
+  Writer(&patience).Line(wire_names::kCallerTimeout, std::to_string(line.patience_us / 1000));
   NotifyLine(number, line, events, patience);
 }
 
@@ -109,7 +109,7 @@
   const Line& line = lines_[static_cast<std::size_t>(*number)];
   if (!line.in_use || !line.connection.empty()) return;
   const bool refused = answer != nullptr && answer->Get(wire_names::kAnswer) == "refused";
-  const auto pause = refused ? wire_names::Number<std::uint32_t>(answer->Get(wire_names::kPause)).value_or(0) : 0;
+  const auto pause = refused ? wire_names::Number<std::uint32_t>(answer->Get(wire_names::kRetryAfter)).value_or(0) : 0;
   on_heard_(*number, refused ? Heard::kRefused : Heard::kFailed, TimeUs{pause} * 1000);
 }
 
@@ -134,8 +134,8 @@
   if (!mgcp::EqualsIgnoringCase(message.endpoint.domain, settings_.domain))
     return transactions_.Respond(id, mgcp::kUnknownEndpoint);
   const std::string_view local = message.endpoint.local;
-  if (local.substr(0, wire_names::kFar.size()) == wire_names::kFar) {
-    const auto far = wire_names::Number<int>(local.substr(wire_names::kFar.size()));
+  if (local.substr(0, wire_names::kFarProcessors.size()) == wire_names::kFarProcessors) {
+    const auto far = wire_names::Number<int>(local.substr(wire_names::kFarProcessors.size()));
     if (message.verb != Verb::kAuep || !far || *far < 0 || *far >= static_cast<int>(network_->size()))
       return transactions_.Respond(id, mgcp::kUnknownEndpoint);
     return network_->Probe(settings_.number, *far, [this, alive = alive_, id](const std::vector<double>& load) {
@@ -191,7 +191,7 @@
     const bool tone = mgcp::EqualsIgnoringCase(signal.name, "cg") || mgcp::EqualsIgnoringCase(signal.name, "ro") ||
                       mgcp::EqualsIgnoringCase(signal.name, "bz");
     if (!tone || message.Find(wire_names::kAnswer) == nullptr) continue;
-    const auto pause = wire_names::Number<std::uint32_t>(message.Get(wire_names::kPause)).value_or(0);
+    const auto pause = wire_names::Number<std::uint32_t>(message.Get(wire_names::kRetryAfter)).value_or(0);
     const bool busy = mgcp::EqualsIgnoringCase(signal.name, "bz");
     on_heard_(number, refused ? Heard::kRefused : busy ? Heard::kBusy : Heard::kFailed, TimeUs{pause} * 1000);
     return;
@@ -293,7 +293,7 @@
       const auto* rel = FindEvent(signals, "MS", "rel");
       ReleaseNews news;
       if (rel != nullptr) news.cause = wire_names::Number<int>(rel->parameters).value_or(41);
-      news.at = wire_names::Number<int>(message.Get(wire_names::kAt)).value_or(settings_.number);
+      news.at = wire_names::Number<int>(message.Get(wire_names::kCauseExchange)).value_or(settings_.number);
       news.wait_us = TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kWait)).value_or(0)} * 1000;
       if (const auto* request = message.Find("X")) trunk.request = trunk.armed = request->value;
       trunk.connection.clear();
@@ -320,7 +320,8 @@
   info.calling = mgcp::Argument(sup, "id");
   info.call_class = message.Get(wire_names::kClass);
   info.origin = wire_names::Number<int>(message.Get(wire_names::kOrigin)).value_or(-1);
-  info.patience_us = TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kPatience)).value_or(0)} * 1000;
+  info.patience_us =
+      TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kCallerTimeout)).value_or(0)} * 1000;
   info.destination = ExchangeOf(info.called);
   if (const auto others = mgcp::SplitTopLevel(message.Get(wire_names::kCircuitList))) {
     for (const std::string_view other : *others) {
@@ -368,7 +369,7 @@
   std::string more;
   Writer writer(&more);
   writer.Line(wire_names::kOrigin, std::to_string(info.origin)).Line(wire_names::kClass, info.call_class);
-  writer.Line(wire_names::kPatience, std::to_string(info.patience_us / 1000));
+  writer.Line(wire_names::kCallerTimeout, std::to_string(info.patience_us / 1000));
   std::string others;
   for (const unsigned other : info.others) others += (others.empty() ? "" : ",") + std::to_string(other);
   if (!others.empty()) writer.Line(wire_names::kCircuitList, others);
@@ -391,7 +392,7 @@
 void Gateway::OnRelease(const CircuitId& circuit, const ReleaseNews& news) {
   std::string more;
   Writer writer(&more);
-  if (news.at >= 0) writer.Line(wire_names::kAt, std::to_string(news.at));
+  if (news.at >= 0) writer.Line(wire_names::kCauseExchange, std::to_string(news.at));
   if (news.wait_us > 0) writer.Line(wire_names::kWait, std::to_string(news.wait_us / 1000));
   std::string list;
   for (const double figure : news.load) list += (list.empty() ? "" : ",") + std::to_string(figure);
--- a/src/lab/rules.cpp
+++ b/src/lab/rules.cpp
@@ -46,7 +46,7 @@
 }
 
 TimeUs CallerTimeout(const mgcp::Message& message) {
-  return wire_names::Number<TimeUs>(message.Get(wire_names::kPatience)).value_or(0) * 1000;
+  return wire_names::Number<TimeUs>(message.Get(wire_names::kCallerTimeout)).value_or(0) * 1000;
 }
 
 std::string Ms(TimeUs us) { return std::to_string(us / 1000) + " ms"; }
--- a/src/ws/api.cpp
+++ b/src/ws/api.cpp
@@ -139,10 +139,10 @@
 }  // namespace
 
 std::variant<Command, ApiError> ParseCommand(std::string_view text, const ApiLimits& limits) {
-  if (text.size() > limits.most_octets)
+  if (text.size() > limits.max_octets)
     return ApiError{
         "", "too-long",
-        "expected at most " + std::to_string(limits.most_octets) + " octets, found " + std::to_string(text.size())};
+        "expected at most " + std::to_string(limits.max_octets) + " octets, found " + std::to_string(text.size())};
   if (const std::size_t depth = NestingDepth(text); depth > limits.max_depth)
     return ApiError{"", "too-deep",
                     "expected at most " + std::to_string(limits.max_depth) + " levels, found " + std::to_string(depth)};
--- a/src/ws/api.h
+++ b/src/ws/api.h
@@ -19,7 +19,7 @@
 inline constexpr int kApiVersion = 1;
 
 struct ApiLimits {
-  std::size_t most_octets = 8'192;    // size of a command
+  std::size_t max_octets = 8'192;     // size of a command
   std::size_t max_depth = 6;          // nesting levels of its JSON
   std::size_t max_text_octets = 128;  // length of a string in it
 };
--- a/src/ws/server.cpp
+++ b/src/ws/server.cpp
@@ -69,10 +69,10 @@
     const ServerSettings& settings = state->settings;
     beast::websocket::stream_base::timeout timeout{};
     timeout.handshake_timeout = std::chrono::microseconds(settings.handshake_timeout_us);
-    timeout.idle_timeout = std::chrono::microseconds(settings.idle_us);
+    timeout.idle_timeout = std::chrono::microseconds(settings.idle_timeout_us);
     timeout.keep_alive_pings = true;
     self->stream_.set_option(timeout);
-    self->stream_.read_message_max(settings.most_octets);
+    self->stream_.read_message_max(settings.max_message_octets);
     co_await self->stream_.async_accept(asio::redirect_error(asio::use_awaitable, error));
     if (error) {
       ++state->counters.handshakes_failed;
@@ -162,7 +162,7 @@
       const auto now = static_cast<TimeUs>(
           std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now().time_since_epoch())
               .count());
-      if (state->connections.size() >= state->settings.most_connections ||
+      if (state->connections.size() >= state->settings.max_connections ||
           !state->accept_bucket.TryConsume(state->accept_limit, now)) {
         ++state->counters.rejected;
         continue;  // the socket closes as it goes out of scope
--- a/src/ws/server.h
+++ b/src/ws/server.h
@@ -19,10 +19,11 @@
 
 struct ServerSettings {
   core::Address listen;
-  std::size_t most_connections = 1'024;
+  std::size_t max_connections = 1'024;
   TimeUs handshake_timeout_us = 3'000'000;
-  TimeUs idle_us = 30'000'000;  // after half of this time a ping is sent, after all of it the connection is closed
-  std::size_t most_octets = 8'192;
+  // After half of this time a ping is sent, after all of it the connection is closed.
+  TimeUs idle_timeout_us = 30'000'000;
+  std::size_t max_message_octets = 8'192;
   std::size_t accepts_per_s = 200;  // connections beyond this rate are closed at once
 };
 
--- a/src/ws/session.h
+++ b/src/ws/session.h
@@ -18,18 +18,18 @@
 
 struct SessionSettings {
   std::size_t max_stored_replies = 256;  // for commands that are repeated
-  std::size_t most_calls = 64;           // open at once
-  admission::TokenBucketSettings commands = {50.0, 100.0};
+  std::size_t max_calls = 64;            // open at once
+  admission::TokenBucketSettings command_limit = {50.0, 100.0};
 };
 
 class Session {
  public:
   explicit Session(const SessionSettings& settings) : settings_(settings) {
-    command_bucket_.tokens = settings.commands.burst;
+    command_bucket_.tokens = settings.command_limit.burst;
   }
 
   // Counts a command against the rate limit. Returns false if the limit is exceeded.
-  bool TryConsumeCommand(TimeUs now) { return command_bucket_.TryConsume(settings_.commands, now); }
+  bool TryConsumeCommand(TimeUs now) { return command_bucket_.TryConsume(settings_.command_limit, now); }
 
   // Returns the reply to an earlier command with this id, or null if none is stored.
   const std::string* FindReply(const std::string& id) const {
@@ -45,7 +45,7 @@
   }
 
   // ---- calls ----
-  bool CanPlaceCall() const { return calls_.size() < settings_.most_calls; }
+  bool CanPlaceCall() const { return calls_.size() < settings_.max_calls; }
   void AddCall(CallId call) { calls_.insert(call); }
   void RemoveCall(CallId call) { calls_.erase(call); }
   bool HasCall(CallId call) const { return calls_.count(call) > 0; }
@@ -55,7 +55,7 @@
   // Each call has two events at most, its answer and its end, so the number of calls bounds the number of events. For a
   // client that never acknowledges, `max_unacknowledged` events are stored; the oldest delivered ones are dropped
   // first.
-  std::size_t max_unacknowledged() const { return 4 * settings_.most_calls; }
+  std::size_t max_unacknowledged() const { return 4 * settings_.max_calls; }
   // Numbers and stores the event and returns its text. `delivered`: it is sent on a connection now.
   const std::string& AddEvent(std::string_view event, nlohmann::json fields, bool delivered) {
     unacknowledged_.push_back({++sequence_, EventText(sequence_, event, std::move(fields)), delivered});
--- a/src/ws/session_manager.cpp
+++ b/src/ws/session_manager.cpp
@@ -48,8 +48,8 @@
   const auto found = connections_.find(id);
   if (found == connections_.end() || found->second.closing) return;
   // The memory for a slow consumer is bounded. Its unacknowledged events stay in the session until it resumes.
-  if (found->second.output->QueuedOctets() + text.size() > settings_.most_queued) {
-    ++counters_.slow_readers;
+  if (found->second.output->QueuedOctets() + text.size() > settings_.max_queued_octets) {
+    ++counters_.slow_consumers;
     return Close(id, 1013, "you read too slowly; resume the session");
   }
   found->second.output->Send(std::move(text));
@@ -76,7 +76,7 @@
   ++counters_.commands;
   auto parsed = ParseCommand(text, settings_.api);
   if (const auto* error = std::get_if<ApiError>(&parsed)) {
-    ++counters_.mistakes;
+    ++counters_.invalid_commands;
     Send(id, ErrorText(*error));
     // A client that has not authenticated is not allowed invalid commands.
     if (found->second.session == nullptr) Close(id, 1008, "expected a hello");
@@ -86,7 +86,7 @@
   if (command.type == CommandType::kHello) return HandleHello(id, command);
   ClientSession* session = found->second.session;
   if (session == nullptr) {
-    ++counters_.mistakes;
+    ++counters_.invalid_commands;
     Send(id, ErrorText({command.id, "hello-first", "expected a hello before anything else"}));
     return Close(id, 1008, "expected a hello");
   }
@@ -96,7 +96,7 @@
     return Send(id, *reply);
   }
   if (!session->state.TryConsumeCommand(runtime_->Now())) {
-    ++counters_.over_rate;
+    ++counters_.rate_limited;
     return Send(id,
                 ErrorText({command.id, "too-many-commands", "wait before the next one; this one was not carried out"}));
   }
@@ -147,7 +147,7 @@
     resumed = true;
     ++counters_.resumed;
   } else {
-    if (sessions_.size() >= settings_.most_sessions) {
+    if (sessions_.size() >= settings_.max_sessions) {
       Send(id, ErrorText({command.id, "full", "too many sessions; come back later"}));
       return Close(id, 1013, "too many sessions");
     }
@@ -163,7 +163,7 @@
   Send(id, ReplyText(command.id, {{"session", session->id},
                                   {"resumed", resumed},
                                   {"seq", session->state.sequence()},
-                                  {"resume_ms", settings_.resume_us / 1000}}));
+                                  {"resume_ms", settings_.resume_timeout_us / 1000}}));
   if (!resumed) return;
   for (std::string& event : session->state.EventsAfter(command.last_received)) Send(id, std::move(event));
 }
@@ -210,7 +210,7 @@
   }
   if (!session.state.CanPlaceCall()) {
     *error = {command.id, "too-many-calls",
-              "expected at most " + std::to_string(settings_.session.most_calls) + " calls at once"};
+              "expected at most " + std::to_string(settings_.session.max_calls) + " calls at once"};
     return {};
   }
   core::CallRequest request;
@@ -227,7 +227,7 @@
   ++counters_.placed;
   placing_session_ = &session;
   early_events_.clear();
-  const CallId call = calls_->Take(request, this, session.identity.client);
+  const CallId call = calls_->AcceptCall(request, this, session.identity.client);
   placing_session_ = nullptr;
   session.state.AddCall(call);
   session_of_call_[call] = &session;
@@ -280,8 +280,8 @@
   }
 }
 
-void SessionManager::TellGroups() { PublishToSubscribers(&ClientSession::groups, "groups"); }
-void SessionManager::TellRoster() { PublishToSubscribers(&ClientSession::roster, "roster"); }
+void SessionManager::PublishGroups() { PublishToSubscribers(&ClientSession::groups, "groups"); }
+void SessionManager::PublishRoster() { PublishToSubscribers(&ClientSession::roster, "roster"); }
 
 void SessionManager::EndSession(const std::string& id) {
   const auto found = sessions_.find(id);
@@ -300,7 +300,7 @@
   const TimeUs now = runtime_->Now();
   std::vector<std::string> ended;
   for (const auto& [id, session] : sessions_) {
-    const bool away = session->connection == 0 && now - session->away_since >= settings_.resume_us;
+    const bool away = session->connection == 0 && now - session->away_since >= settings_.resume_timeout_us;
     if (away || session->state.HasOverflowed()) ended.push_back(id);
   }
   for (const std::string& id : ended) {
@@ -313,7 +313,8 @@
   }
   std::vector<ConnectionId> without_hello;
   for (const auto& [id, connection] : connections_) {
-    if (connection.session == nullptr && !connection.closing && now - connection.opened_at >= settings_.hello_us)
+    if (connection.session == nullptr && !connection.closing &&
+        now - connection.opened_at >= settings_.hello_timeout_us)
       without_hello.push_back(id);
   }
   for (const ConnectionId id : without_hello) Close(id, 1008, "expected a hello");
--- a/src/ws/session_manager.h
+++ b/src/ws/session_manager.h
@@ -5,8 +5,8 @@
 //
 // State of a session   connection   left when
 //   attached           one          the connection closes, or another connection resumes the session
-//   away               none         a hello resumes the session within `resume_us`; otherwise the session ends and its
-//                                   calls are hung up
+//   away               none         a hello resumes the session within `resume_timeout_us`; otherwise the session ends
+//                                   and its calls are hung up
 #ifndef CROFTRUN_WS_SESSION_MANAGER_H_
 #define CROFTRUN_WS_SESSION_MANAGER_H_
 
@@ -40,10 +40,10 @@
 
 struct SessionManagerSettings {
   std::vector<std::string> token_keys;  // empty: clients need no token and are identified by address
-  std::size_t most_sessions = 1'024;
-  std::size_t most_queued = 256 << 10;  // octets to a connection; a slow consumer beyond this is disconnected
-  TimeUs resume_us = 30'000'000;        // time within which a session without a connection can be resumed
-  TimeUs hello_us = 5'000'000;          // time within which a new connection has to send its hello
+  std::size_t max_sessions = 1'024;
+  std::size_t max_queued_octets = 256 << 10;  // octets to a connection; a slow consumer beyond this is disconnected
+  TimeUs resume_timeout_us = 30'000'000;      // time within which a session without a connection can be resumed
+  TimeUs hello_timeout_us = 5'000'000;        // time within which a new connection has to send its hello
   ApiLimits api;
   SessionSettings session;
 };
@@ -58,7 +58,7 @@
   virtual bool Classify(core::CallRequest* request, const std::string& customer, bool* refused,
                         TimeUs* retry_after_us) = 0;
   // Starts a call and returns its id. `owner` may receive the final answer before this returns.
-  virtual CallId Take(const core::CallRequest& request, core::CallOwner* owner, std::string_view client) = 0;
+  virtual CallId AcceptCall(const core::CallRequest& request, core::CallOwner* owner, std::string_view client) = 0;
   virtual void HangUp(CallId call) = 0;
   // Returns the list of "groups" or "roster" entries.
   virtual nlohmann::json List(const std::string& what) = 0;
@@ -69,7 +69,7 @@
  public:
   struct Counters {
     std::uint64_t connections = 0, hellos = 0, denied = 0, sessions = 0, resumed = 0, expired = 0;
-    std::uint64_t commands = 0, repeated = 0, mistakes = 0, over_rate = 0, placed = 0, slow_readers = 0,
+    std::uint64_t commands = 0, repeated = 0, invalid_commands = 0, rate_limited = 0, placed = 0, slow_consumers = 0,
                   lost_events = 0;
   };
   using ConnectionId = std::uint64_t;
@@ -84,11 +84,11 @@
   // Handles the loss of the connection; its output is not used afterwards.
   void OnClosed(ConnectionId connection);
   // Replaces the token keys. Clients that are authenticated stay so until their token expires.
-  void SetKeys(std::vector<std::string> keys) { settings_.token_keys = std::move(keys); }
+  void SetTokenKeys(std::vector<std::string> keys) { settings_.token_keys = std::move(keys); }
 
   // Send the current groups or roster to the clients that subscribed to them.
-  void TellGroups();
-  void TellRoster();
+  void PublishGroups();
+  void PublishRoster();
 
   void OnFinalAnswer(CallId call, const core::FinalAnswer& answer) override;
   void OnCallEnded(CallId call, core::ReleaseCause cause) override;
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "admission/admission_controller.h"
-#include "lab/doors.h"
+#include "lab/admission_comparison.h"
 
 namespace croftrun::admission {
 namespace {
@@ -273,14 +273,15 @@
           ApplyDecisions(
               [&](std::vector<AdmissionDecision>* more) { controller_.OnAnswered(call, in_time, now_, more); });
         });
-      } else if (attempt.client != nullptr && redials > 0 && decision.pause_us > 0) {
+      } else if (attempt.client != nullptr && redials > 0 && decision.retry_after_us > 0) {
         const bool has_reservation = attempt.client->retry_factor >= 1.0 && decision.has_reservation;
-        Schedule(now_ + static_cast<TimeUs>(static_cast<double>(decision.pause_us) * attempt.client->retry_factor),
-                 [=, this] {
-                   attempt.client->reserved_retries += has_reservation ? 1 : 0;
-                   Dial(attempt.client, attempt.client->name, attempt.called, attempt.client->customer, redials - 1,
-                        has_reservation);
-                 });
+        Schedule(
+            now_ + static_cast<TimeUs>(static_cast<double>(decision.retry_after_us) * attempt.client->retry_factor),
+            [=, this] {
+              attempt.client->reserved_retries += has_reservation ? 1 : 0;
+              Dial(attempt.client, attempt.client->name, attempt.called, attempt.client->customer, redials - 1,
+                   has_reservation);
+            });
       } else if (attempt.client != nullptr) {
         ++attempt.client->abandoned;
       }
@@ -301,8 +302,8 @@
 
 AdmissionSettings Settings() {
   AdmissionSettings settings;
-  settings.limiter.first = 20.0;
-  settings.longest_pause_us = 10 * kSecond;
+  settings.limiter.initial_limit = 20.0;
+  settings.max_retry_after_us = 10 * kSecond;
   settings.customers = {{}, {}};
   settings.secret = 20261201;
   return settings;
@@ -327,9 +328,9 @@
 TEST(AdmissionController, WithoutClientTableTheSameFloodStarvesQuietClients) {
   // Control for the test above: with a queue that cannot tell clients apart, the flood must do harm.
   AdmissionSettings settings = Settings();
-  settings.clients.most = 4;  // no client stays in the table long enough to be verified
+  settings.clients.max_clients = 4;  // no client stays in the table long enough to be verified
   settings.reserved_share = settings.unverified_share = 0.0;
-  settings.longest_pause_us = 0;
+  settings.max_retry_after_us = 0;
   Simulation simulation(settings);
   for (int i = 0; i < 50; ++i) simulation.Add("quiet " + std::to_string(i), 1, 2.0, kSecond);
   simulation.Run(31 * kSecond);
@@ -364,7 +365,7 @@
 TEST(AdmissionController, SharesFollowWeightsAlsoAfterAChangeInService) {
   AdmissionSettings settings = Settings();
   settings.customers = {{3.0, {}}, {1.0, {}}};
-  settings.longest_pause_us = 0;  // no retries, so that the offered load is constant
+  settings.max_retry_after_us = 0;  // no retries, so that the offered load is constant
   Simulation simulation(settings);
   std::vector<Simulation::Client*> first, second;
   for (int i = 0; i < 20; ++i) {
@@ -393,7 +394,7 @@
   settings.clients.limit.per_s = 5.0;
   settings.clients.limit.burst = 2.0;
   settings.clients.verify_us = kSecond;
-  settings.longest_pause_us = 0;
+  settings.max_retry_after_us = 0;
   Simulation simulation(settings);
   for (int i = 0; i < 10; ++i) simulation.Add("capped " + std::to_string(i), 0, 10.0, kSecond);
   Simulation::Client& loud = simulation.Add("loud", 1, 40.0, kSecond);
@@ -410,8 +411,8 @@
 TEST(ConcurrencyLimiter, ConvergesToTheConcurrencyOfTheNetwork) {
   // The network of the simulation handles 20 set-ups at once without queueing.
   AdmissionSettings settings = Settings();
-  settings.limiter.first = 200.0;
-  settings.longest_pause_us = 0;
+  settings.limiter.initial_limit = 200.0;
+  settings.max_retry_after_us = 0;
   Simulation simulation(settings);
   for (int i = 0; i < 100; ++i) simulation.Add("client " + std::to_string(i), 0, 20.0, kSecond);
   simulation.Run(60 * kSecond);
@@ -420,21 +421,22 @@
 }
 
 TEST(Doors, OnlyFairPolicyKeepsTheShareOfQuietClientsUnderAFlood) {
-  lab::DoorsSettings settings;
+  lab::ComparisonSettings settings;
   settings.length_us = 16'000'000;
   settings.flood_per_s = 1'500;
-  for (const std::string& name : lab::DoorNames()) {
-    const lab::DoorFigures figures = lab::PlayDoor(name, settings);
+  for (const std::string& name : lab::PolicyNames()) {
+    const lab::PolicyResult figures = lab::RunPolicy(name, settings);
     if (name == "fair") {
       EXPECT_GE(figures.quiet_share, 0.95);
-      EXPECT_GE(figures.told_kept, 0.95);
-      EXPECT_LE(figures.most_waiting, 1024U);
+      EXPECT_GE(figures.reservations_kept, 0.95);
+      EXPECT_LE(figures.max_queued, 1024U);
     } else {
       EXPECT_LT(figures.quiet_share, 0.5) << name;
     }
   }
   settings.flood_per_s = 0.0;
-  for (const std::string& name : lab::DoorNames()) EXPECT_GT(lab::PlayDoor(name, settings).quiet_share, 0.99) << name;
+  for (const std::string& name : lab::PolicyNames())
+    EXPECT_GT(lab::RunPolicy(name, settings).quiet_share, 0.99) << name;
 }
 
 }  // namespace
--- a/tests/expr_rules_test.cpp
+++ b/tests/expr_rules_test.cpp
@@ -31,14 +31,14 @@
 }
 
 RuleSet Compile(const std::string& text) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   auto set = CompileRules(text, CallSchema(), {}, &errors);
   EXPECT_TRUE(set) << ToString(errors);
   return set ? std::move(*set) : RuleSet{};
 }
 
 std::string ErrorsOf(const std::string& text) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   EXPECT_FALSE(CompileRules(text, CallSchema(), {}, &errors)) << text;
   return ToString(errors);
 }
@@ -58,7 +58,7 @@
 bool HoldsAt(const std::string& condition, std::int64_t wall_us, const std::string& head = "") {
   const RuleSet set = Compile(head + "rule r when " + condition + " then redial;");
   Input input = SampleCall();
-  set.Extend(&input, {0, wall_us}, nullptr);
+  set.AddDerivedInputs(&input, {0, wall_us}, nullptr);
   return set.Match(input) == 0;
 }
 
@@ -172,7 +172,7 @@
   EXPECT_EQ(outcome.budget_us, 2'000'000);
   EXPECT_TRUE(outcome.key);
   EXPECT_TRUE(outcome.refuse);
-  EXPECT_EQ(outcome.pause_us, 1'000'000);
+  EXPECT_EQ(outcome.retry_after_us, 1'000'000);
   EXPECT_FALSE(outcome.redial);
   ASSERT_EQ(outcome.tag_count, 2U);
   EXPECT_EQ(*outcome.tags[1], "crew");
@@ -233,13 +233,13 @@
     rule g when width in [1, 2] and called == "5" then refuse;
     rule h when called == "9" then refuse;
     rule i when false then refuse;)");
-  const auto notes = set.Report(false, 1'000);
+  const auto notes = set.FindIssues(false, 1'000);
   std::set<std::size_t> lines;
   for (const Note& note : notes) lines.insert(note.line);
   EXPECT_EQ(lines, (std::set<std::size_t>{3, 4, 6, 8, 10})) << notes.size();
-  EXPECT_EQ(set.Report(false, 3).back().text.find("from here on"), 0U);
+  EXPECT_EQ(set.FindIssues(false, 3).back().text.find("from here on"), 0U);
   std::size_t overlapping = 0;
-  for (const Note& note : set.Report(true, 1'000))
+  for (const Note& note : set.FindIssues(true, 1'000))
     overlapping += note.text.find("may match the same call") != std::string::npos ? 1 : 0;
   EXPECT_GT(overlapping, 2U);
 }
@@ -313,7 +313,7 @@
   const RuleSet set = Compile(text);
   RuleState state(set, 1);
   const auto match = [&](Input input, std::uint64_t now) {
-    set.Extend(&input, {now, 0}, &state);
+    set.AddDerivedInputs(&input, {now, 0}, &state);
     return set.Match(input);
   };
   for (int i = 0; i < 5; ++i) EXPECT_EQ(match(SampleCall(), kSecond), -1);
@@ -323,14 +323,14 @@
   EXPECT_EQ(match(other, kSecond), -1);
   // After a change of the rules, unchanged counters keep their counts and changed counters start at zero.
   const RuleSet same = Compile(text + "rule more when true then redial;");
-  state.Follow(same, 1);
+  state.ReplaceRules(same, 1);
   EXPECT_EQ(match(SampleCall(), kSecond), 0);
   const RuleSet changed = Compile("counter tries by line default 0 over 2min; rule flood when tries > 5 then refuse;");
-  state.Follow(changed, 1);
+  state.ReplaceRules(changed, 1);
   Input input = SampleCall();
-  changed.Extend(&input, {kSecond, 0}, &state);
+  changed.AddDerivedInputs(&input, {kSecond, 0}, &state);
   EXPECT_EQ(changed.Match(input), -1);
-  EXPECT_EQ(state.Report().size(), 1U);
+  EXPECT_EQ(state.ReportCounters().size(), 1U);
   EXPECT_NE(ErrorsOf("counter c by line over 1min;").find("may be absent"), std::string::npos);
   EXPECT_NE(ErrorsOf("counter c by width over 48h;").find("24h"), std::string::npos);
   EXPECT_NE(ErrorsOf("counter c by width over 1min keys 99999999;").find("a number of keys"), std::string::npos);
@@ -373,7 +373,7 @@
       conditions.push_back(condition);
       text += "rule r" + std::to_string(i) + " when " + condition + " then tag \"" + std::to_string(i) + "\";\n";
     }
-    std::vector<Mistake> errors;
+    std::vector<Diagnostic> errors;
     const auto set = CompileRules(text, CallSchema(), {}, &errors);
     RC_ASSERT(set.has_value());
     for (int round = 0; round < 5; ++round) {
@@ -415,11 +415,11 @@
       }
       text += "rule r" + std::to_string(i) + " when " + condition + " then refuse;\n";
     }
-    std::vector<Mistake> errors;
+    std::vector<Diagnostic> errors;
     const auto set = CompileRules(text, CallSchema(), {}, &errors);
     RC_ASSERT(set.has_value());
     std::set<std::size_t> unreachable;
-    for (const Note& note : set->Report(false, 10'000)) unreachable.insert(note.line);
+    for (const Note& note : set->FindIssues(false, 10'000)) unreachable.insert(note.line);
     for (const char* called : {"", "1", "11", "111", "1111", "2"}) {
       for (int width = -1; width < 7; ++width) {
         Input input = SampleCall();
--- a/tests/expr_test.cpp
+++ b/tests/expr_test.cpp
@@ -25,7 +25,7 @@
 }
 
 std::int64_t Evaluate(const std::string& text, const Input& input = SampleCall()) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   const auto program = CompileExpression(text, CallSchema(), {}, &errors);
   if (!program) {
     ADD_FAILURE() << text << "\n" << ToString(errors);
@@ -39,7 +39,7 @@
 }
 
 std::string ErrorsOf(const std::string& text, const Limits& limits = {}) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   EXPECT_FALSE(CompileExpression(text, CallSchema(), limits, &errors)) << text;
   EXPECT_FALSE(errors.empty()) << text;
   return ToString(errors);
@@ -82,13 +82,13 @@
 }
 
 TEST(Expr, ReportsErrorsWithLineAndColumn) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   EXPECT_FALSE(CompileExpression("class == slot-hold and\n  customer == crew-laeds", CallSchema(), {}, &errors));
   ASSERT_EQ(errors.size(), 1U);
   EXPECT_EQ(errors[0].line, 2U);
   EXPECT_EQ(errors[0].column, 15U);
   EXPECT_EQ(errors[0].text, "expected a word of customer, found 'crew-laeds'; did you mean 'crew-leads'?");
-  EXPECT_EQ(errors[0].shown, "  customer == crew-laeds\n              ^");
+  EXPECT_EQ(errors[0].excerpt, "  customer == crew-laeds\n              ^");
   for (const char* invalid : {"",
                               "class",
                               "1 +",
@@ -154,7 +154,7 @@
 }
 
 TEST(ExprRules, AppliesFirstMatchingRule) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   const auto set = CompileRules(R"(
     # crew leads first
     rule crews when customer == crew-leads and class == slot-hold then class = slot-hold, tag "crew";
@@ -175,7 +175,7 @@
 }
 
 TEST(ExprRules, ReportsAllErrorsOfFileAtOnce) {
-  std::vector<Mistake> errors;
+  std::vector<Diagnostic> errors;
   EXPECT_FALSE(CompileRules(R"(rule a when clas == slot-hold then class = slot-hold;
 rule b when width then refuse;
 rule c when width > 1 then class = slot-hodl;
@@ -283,7 +283,7 @@
     input[6] = {*rc::gen::inRange<std::int64_t>(0, 10'000), {}, *rc::gen::arbitrary<bool>()};
     input[7].number = *rc::gen::inRange(0, 2);
     const GeneratedExpression expression = GenerateCondition(5, input);
-    std::vector<Mistake> errors;
+    std::vector<Diagnostic> errors;
     const auto program = CompileExpression(expression.text, CallSchema(), {}, &errors);
     RC_ASSERT(program.has_value());
     RC_ASSERT(program->Verify(CallSchema().attributes.size()));
@@ -311,7 +311,7 @@
         text.insert(at, text.substr(next_random(text.size()), next_random(20)));
       }
     }
-    std::vector<Mistake> errors;
+    std::vector<Diagnostic> errors;
     const auto set = CompileRules(text, CallSchema(), {}, &errors);
     EXPECT_EQ(set.has_value(), errors.empty()) << text;
     if (set) set->Match(SampleCall());
--- a/tests/flow_shift_test.cpp
+++ b/tests/flow_attempt_report_test.cpp
@@ -1,7 +1,7 @@
 // The attempt report: counting by trunk group, and the chart.
 #include <gtest/gtest.h>
 
-#include "flow/shift.h"
+#include "flow/attempt_report.h"
 
 namespace croftrun::flow {
 namespace {
@@ -26,11 +26,11 @@
   const auto add = [&](const DecodedRecord& record) { report.Add(record); };
   encoder.BeginMessage();
   encoder.AddTemplates();
-  EXPECT_TRUE(decoder.Message(encoder.FinishMessage(1, 1), add, nullptr));
+  EXPECT_TRUE(decoder.DecodeMessage(encoder.FinishMessage(1, 1), add, nullptr));
   for (const FlowRecord& record : records) {
     encoder.BeginMessage();
     EXPECT_TRUE(encoder.AddRecord(record));
-    EXPECT_TRUE(decoder.Message(encoder.FinishMessage(1, 1), add, nullptr));
+    EXPECT_TRUE(decoder.DecodeMessage(encoder.FinishMessage(1, 1), add, nullptr));
   }
   return report;
 }
--- a/tests/flow_codec_test.cpp
+++ b/tests/flow_codec_test.cpp
@@ -90,27 +90,27 @@
   std::uint64_t ring_full = 0;
   for (const std::string& message : EncodeMessages(encoder, {MakeCall(1), MakeAttempt(1), MakeCall(2)})) {
     std::string error;
-    const bool ok = decoder.Message(
+    const bool ok = decoder.DecodeMessage(
         message,
         [&](const DecodedRecord& r) {
-          if (r.template_id == kCountsTemplate) ring_full = r.Number(Source::kRingFull);
+          if (r.template_id == kExporterCountsTemplate) ring_full = r.Number(FieldId::kRingFull);
           if (r.template_id == kAttemptTemplate) {
-            attempts.push_back(r.Number(Source::kCall));
-            EXPECT_EQ(r.Number(Source::kGroupOut), 7U);
-            EXPECT_EQ(r.Number(Source::kViaTandem), 1U);
-            EXPECT_EQ(r.Number(Source::kOutcome), 4U);
+            attempts.push_back(r.Number(FieldId::kCall));
+            EXPECT_EQ(r.Number(FieldId::kGroupOut), 7U);
+            EXPECT_EQ(r.Number(FieldId::kViaTandem), 1U);
+            EXPECT_EQ(r.Number(FieldId::kOutcome), 4U);
           }
           if (r.template_id != kCallTemplate) return;
-          calls.push_back(r.Number(Source::kCall));
-          EXPECT_EQ(r.Number(Source::kStart), 1'796'000'000'123U);
-          EXPECT_EQ(r.Text(Source::kCalled), "2100200017");
-          EXPECT_EQ(r.Text(Source::kCalling), "aaln/417");
-          EXPECT_EQ(r.Text(Source::kClass), "slot-hold");
-          EXPECT_EQ(r.Number(Source::kSetUpDelay), 123'456U);
-          EXPECT_EQ(r.Number(Source::kRulesVersion), 9U);
+          calls.push_back(r.Number(FieldId::kCall));
+          EXPECT_EQ(r.Number(FieldId::kStart), 1'796'000'000'123U);
+          EXPECT_EQ(r.Text(FieldId::kCalled), "2100200017");
+          EXPECT_EQ(r.Text(FieldId::kCalling), "aaln/417");
+          EXPECT_EQ(r.Text(FieldId::kClass), "slot-hold");
+          EXPECT_EQ(r.Number(FieldId::kSetUpDelay), 123'456U);
+          EXPECT_EQ(r.Number(FieldId::kRulesVersion), 9U);
           if (GetParam() == Protocol::kIpfix) {
-            ASSERT_NE(r.Find(Source::kAttemptedExchanges), nullptr);
-            EXPECT_EQ(ReadBasicList(r.Find(Source::kAttemptedExchanges)->octets), (std::vector<std::uint64_t>{5, 7}));
+            ASSERT_NE(r.Find(FieldId::kAttemptedExchanges), nullptr);
+            EXPECT_EQ(ReadBasicList(r.Find(FieldId::kAttemptedExchanges)->octets), (std::vector<std::uint64_t>{5, 7}));
           }
         },
         &error);
@@ -135,7 +135,7 @@
     for (const std::string& message : EncodeMessages(encoder, records)) {
       EXPECT_LE(message.size(), max_octets);
       std::string error;
-      EXPECT_TRUE(decoder.Message(
+      EXPECT_TRUE(decoder.DecodeMessage(
           message, [&](const DecodedRecord& r) { data += r.options ? 0 : 1; }, &error))
           << error;
     }
@@ -151,15 +151,15 @@
   const auto messages = EncodeMessages(encoder, records);
   Decoder decoder;
   std::string error;
-  EXPECT_TRUE(decoder.Message(messages[1], {}, &error));
+  EXPECT_TRUE(decoder.DecodeMessage(messages[1], {}, &error));
   EXPECT_GT(decoder.counters().without_template, 0U);
-  EXPECT_TRUE(decoder.Message(messages[0], {}, &error));
-  EXPECT_TRUE(decoder.Message(messages[2], {}, &error));
-  EXPECT_TRUE(decoder.Message(messages[4], {}, &error));
+  EXPECT_TRUE(decoder.DecodeMessage(messages[0], {}, &error));
+  EXPECT_TRUE(decoder.DecodeMessage(messages[2], {}, &error));
+  EXPECT_TRUE(decoder.DecodeMessage(messages[4], {}, &error));
   EXPECT_GT(decoder.counters().lost, 0U);
-  decoder.Forget();
+  decoder.Reset();
   const auto before = decoder.counters().without_template;
-  EXPECT_TRUE(decoder.Message(messages[3], {}, &error));
+  EXPECT_TRUE(decoder.DecodeMessage(messages[3], {}, &error));
   EXPECT_GT(decoder.counters().without_template, before);
 }
 
@@ -180,7 +180,7 @@
           message[at] = static_cast<char>(*rc::gen::inRange(0, 256));
         }
         message.resize(*rc::gen::inRange<std::size_t>(0, message.size() + 1));
-        decoder.Message(
+        decoder.DecodeMessage(
             message, [](const DecodedRecord& r) { ReadBasicList(r.fields.back().octets); }, nullptr);
       }
     }
@@ -266,9 +266,9 @@
       break;
     }
     const bool is_call = id == kCallTemplate;
-    result.types += id == kTypesTemplate ? 1 : 0;
-    result.counts += id == kCountsTemplate ? 1 : 0;
-    result.others += id != kTypesTemplate && id != kCountsTemplate && !is_call ? 1 : 0;
+    result.types += id == kElementTypesTemplate ? 1 : 0;
+    result.counts += id == kExporterCountsTemplate ? 1 : 0;
+    result.others += id != kElementTypesTemplate && id != kExporterCountsTemplate && !is_call ? 1 : 0;
     if (is_call) {
       result.calls.push_back(call);
       result.called.emplace_back(reinterpret_cast<const char*>(call.called.buf), call.called.len);
@@ -350,7 +350,7 @@
           CollectorSettings to;
           to.address = {0x7f000001, static_cast<std::uint16_t>(tcp ? 24761 : 24762)};
           to.transport = GetParam();
-          to.link.least_wait_us = 10'000;
+          to.connection.min_backoff_us = 10'000;
           settings.collectors = {to};
           exporter = std::make_unique<Exporter>(settings, &ring);
           for (std::uint64_t i = 0; i < kCalls; ++i) {
--- a/tests/flow_export_test.cpp
+++ b/tests/flow_export_test.cpp
@@ -38,7 +38,7 @@
       state->OnConnecting(now);
       state->OnDisconnected(now);
     }
-    const std::uint64_t backoff = std::min(settings.longest_wait_us, settings.least_wait_us << std::min(i, 20));
+    const std::uint64_t backoff = std::min(settings.max_backoff_us, settings.min_backoff_us << std::min(i, 20));
     EXPECT_GE(one.connect_at() - now, backoff / 2);
     EXPECT_LE(one.connect_at() - now, backoff);
     differ = differ || one.connect_at() != other.connect_at();
@@ -46,7 +46,7 @@
     now = std::max(one.connect_at(), other.connect_at());
   }
   EXPECT_TRUE(differ);
-  EXPECT_LE(longest, settings.longest_wait_us);
+  EXPECT_LE(longest, settings.max_backoff_us);
 }
 
 TEST(ConnectionState, KeepsBackingOffWhenConnectionBreaksSoonAfterAccept) {
@@ -63,14 +63,14 @@
   state.OnConnecting(now);
   state.OnConnected(now);
   state.OnDisconnected(now + 1000);
-  EXPECT_GT(state.connect_at() - now, settings.longest_wait_us / 2);
+  EXPECT_GT(state.connect_at() - now, settings.max_backoff_us / 2);
   // A connection that was stable is retried after the shortest back-off.
   now = state.connect_at();
   state.OnConnecting(now);
   state.OnConnected(now);
   now += settings.stable_time_us + 1;
   state.OnDisconnected(now);
-  EXPECT_LE(state.connect_at() - now, settings.least_wait_us);
+  EXPECT_LE(state.connect_at() - now, settings.min_backoff_us);
 }
 
 TEST(ConnectionState, TimesOutWriteWithoutAcknowledgement) {
@@ -82,9 +82,9 @@
   state.OnConnected(10);
   EXPECT_FALSE(state.TimeoutAt());
   state.OnWriteStarted(100);
-  state.OnAcknowledged(100 + settings.stall_us - 1);
-  EXPECT_FALSE(state.CheckTimeout(100 + settings.stall_us));
-  EXPECT_TRUE(state.CheckTimeout(99 + 2 * settings.stall_us));
+  state.OnAcknowledged(100 + settings.stall_timeout_us - 1);
+  EXPECT_FALSE(state.CheckTimeout(100 + settings.stall_timeout_us));
+  EXPECT_TRUE(state.CheckTimeout(99 + 2 * settings.stall_timeout_us));
   EXPECT_EQ(state.counters().stalls, 1U);
 }
 
@@ -201,16 +201,17 @@
   settings.exchange = 3;
   settings.classes = {"slot-check"};
   settings.poll_interval_us = 1'000;
-  settings.counts_us = 50'000;
+  settings.counts_interval_us = 50'000;
   for (const auto& [port, transport] : collectors) {
     CollectorSettings collector;
     collector.address = {0x7f000001, port};
     collector.transport = transport;
     collector.protocol = protocol;
-    collector.queue = 16'384;  // holds everything a test feeds, so that the speed of the machine does not matter
-    collector.link.least_wait_us = 10'000;
-    collector.link.longest_wait_us = 50'000;
-    collector.link.stall_us = 200'000;
+    // Holds everything a test feeds, so that the speed of the machine does not matter.
+    collector.max_queued_records = 16'384;
+    collector.connection.min_backoff_us = 10'000;
+    collector.connection.max_backoff_us = 50'000;
+    collector.connection.stall_timeout_us = 200'000;
     settings.collectors.push_back(collector);
   }
   return settings;
@@ -245,7 +246,7 @@
   exporter.Stop();
   WaitFor([&] { return collector.calls + collector.attempts == RecordsTaken(ring); });
   collector.Stop();
-  const CollectorMetrics metrics = exporter.Figures()[0];
+  const CollectorMetrics metrics = exporter.Metrics()[0];
   EXPECT_EQ(collector.calls, ring.pushed(RecordKind::kCall));
   EXPECT_EQ(collector.attempts, ring.pushed(RecordKind::kAttempt));
   EXPECT_EQ(metrics.sent, metrics.taken);
@@ -273,7 +274,7 @@
   WaitFor([&] { return alive.calls + alive.attempts == RecordsTaken(ring); });
   alive.Stop();
   EXPECT_EQ(alive.calls + alive.attempts, RecordsTaken(ring));
-  const CollectorMetrics dead = exporter.Figures()[1];
+  const CollectorMetrics dead = exporter.Metrics()[1];
   EXPECT_EQ(dead.sent, 0U);
   EXPECT_GT(dead.failures, 3U);
   EXPECT_EQ(dead.taken, dead.queue_full + dead.waiting);  // every record is accounted for
@@ -284,16 +285,16 @@
   for (const Transport transport : {Transport::kUdp, Transport::kTcp}) {
     Ring ring(16'384);
     ExporterSettings settings = MakeSettings({{kPort, transport}});
-    settings.collectors[0].queue = 4096;
+    settings.collectors[0].max_queued_records = 4096;
     Exporter exporter(settings, &ring);
     PushRecords(&ring, 10'000);
     std::this_thread::sleep_for(std::chrono::milliseconds(100));
     Collector collector(kCollector);
     transport == Transport::kUdp ? collector.StartUdp() : collector.StartTcp(Collector::Mode::kRead);
-    WaitFor([&] { return exporter.Figures()[0].waiting == 0 && exporter.Figures()[0].up; });
+    WaitFor([&] { return exporter.Metrics()[0].waiting == 0 && exporter.Metrics()[0].up; });
     PushRecords(&ring, 1'000);
     exporter.Stop();
-    const CollectorMetrics metrics = exporter.Figures()[0];
+    const CollectorMetrics metrics = exporter.Metrics()[0];
     WaitFor([&] { return collector.calls + collector.attempts + collector.groups == metrics.sent; });
     collector.Stop();
     EXPECT_EQ(collector.calls + collector.attempts + collector.groups, metrics.sent);
@@ -311,16 +312,16 @@
   Ring ring(65'536);
   ExporterSettings settings = MakeSettings({{kPort, Transport::kTcp}});
   settings.shutdown_timeout_us = 100'000;
-  settings.collectors[0].queue = 65'536;
-  settings.collectors[0].most_octets = 60'000;
+  settings.collectors[0].max_queued_records = 65'536;
+  settings.collectors[0].max_message_octets = 60'000;
   Exporter exporter(settings, &ring);
-  for (int round = 0; round < 40 && exporter.Figures()[0].stalls == 0; ++round) {
+  for (int round = 0; round < 40 && exporter.Metrics()[0].stalls == 0; ++round) {
     PushRecords(&ring, 3'000);
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
-  WaitFor([&] { return exporter.Figures()[0].stalls > 0; });
+  WaitFor([&] { return exporter.Metrics()[0].stalls > 0; });
   exporter.Stop();
-  const CollectorMetrics metrics = exporter.Figures()[0];
+  const CollectorMetrics metrics = exporter.Metrics()[0];
   EXPECT_GT(metrics.stalls, 0U);
   EXPECT_EQ(metrics.taken, metrics.sent + metrics.queue_full + metrics.send_failed + metrics.waiting);
   EXPECT_EQ(ring.dropped(), 0U);
@@ -336,7 +337,7 @@
   PushRecords(&ring, 2'000);
   std::this_thread::sleep_for(std::chrono::milliseconds(400));
   exporter.Stop();
-  const CollectorMetrics metrics = exporter.Figures()[0];
+  const CollectorMetrics metrics = exporter.Metrics()[0];
   EXPECT_GT(metrics.failures, 2U);
   EXPECT_LT(collector.connections, 60U);
   EXPECT_EQ(metrics.sent, 0U);  // its host acknowledged some octets, but the connection was reset at once
--- a/tests/flow_outage_test.cpp
+++ b/tests/flow_outage_test.cpp
@@ -55,20 +55,20 @@
     ExporterSettings settings;
     settings.exchange = 3;
     settings.poll_interval_us = 1'000;
-    settings.counts_us = 50'000;
-    settings.group_us = 3'600'000'000;
+    settings.counts_interval_us = 50'000;
+    settings.group_interval_us = 3'600'000'000;
     settings.certificate_check_interval_us = 20'000;
     CollectorSettings collector;
     collector.address = kCollector;
     collector.transport = transport;
-    collector.link.least_wait_us = 10'000;
-    collector.link.longest_wait_us = 50'000;
-    collector.link.confirm_time_us = 5'000;
+    collector.connection.min_backoff_us = 10'000;
+    collector.connection.max_backoff_us = 50'000;
+    collector.connection.confirm_time_us = 5'000;
     if (spool) {
       collector.spool.emplace();
       collector.spool->folder = folder_ / "spool";
-      collector.spool->segment_octets = 64 * 1024;
-      collector.catch_up.away_us = 20'000;
+      collector.spool->max_segment_octets = 64 * 1024;
+      collector.catch_up.away_timeout_us = 20'000;
       collector.catch_up.records_per_s = 200'000;
     }
     settings.collectors.push_back(collector);
@@ -79,9 +79,9 @@
   void TrackReceived(Collector* collector) {
     collector->OnRecord([this](const DecodedRecord& record) {
       if (record.template_id != kCallTemplate && record.template_id != kAttemptTemplate) return;
-      const bool marked = record.Number(Source::kReplay) == static_cast<std::uint64_t>(Replay::kPossiblyRepeated);
-      if (!received_.insert(record.Number(Source::kCall)).second && !marked) ++unmarked_repeats_;
-      received_order_.push_back(record.Number(Source::kCall));
+      const bool marked = record.Number(FieldId::kReplay) == static_cast<std::uint64_t>(Replay::kPossiblyRepeated);
+      if (!received_.insert(record.Number(FieldId::kCall)).second && !marked) ++unmarked_repeats_;
+      received_order_.push_back(record.Number(FieldId::kCall));
     });
   }
   static void ExpectAllAccountedFor(const CollectorMetrics& metrics) {
@@ -100,11 +100,11 @@
 TEST_F(FlowOutage, SpoolKeepsAllRecordsOfOutageAndLiveRecordsGoFirst) {
   Ring ring(16'384);
   ExporterSettings settings = MakeSettings(Transport::kTcp, true);
-  settings.collectors[0].queue = 1024;  // the spool holds the rest
+  settings.collectors[0].max_queued_records = 1024;  // the spool holds the rest
   settings.collectors[0].catch_up.records_per_s = 20'000;
   Exporter exporter(settings, &ring, &disk_);
   PushRecords(&ring, 0, 20'000);
-  ASSERT_TRUE(WaitFor([&] { return exporter.Figures()[0].spooled == 20'000; }));
+  ASSERT_TRUE(WaitFor([&] { return exporter.Metrics()[0].spooled == 20'000; }));
   Collector collector(kCollector);
   TrackReceived(&collector);
   collector.StartTcp(Collector::Mode::kRead);
@@ -113,7 +113,7 @@
   ASSERT_TRUE(WaitFor([&] { return collector.calls + collector.attempts >= 20'100; }));
   exporter.Stop();
   collector.Stop();
-  const CollectorMetrics metrics = exporter.Figures()[0];
+  const CollectorMetrics metrics = exporter.Metrics()[0];
   EXPECT_EQ(received_.size(), 20'100U);
   EXPECT_EQ(received_order_.size(), 20'100U);
   EXPECT_EQ(metrics.sent, metrics.taken);
@@ -130,7 +130,7 @@
     Exporter exporter(MakeSettings(Transport::kTcp, true), &ring, &disk_);
     PushRecords(&ring, 0, 3'000);
     exporter.Stop();
-    const CollectorMetrics metrics = exporter.Figures()[0];
+    const CollectorMetrics metrics = exporter.Metrics()[0];
     EXPECT_EQ(metrics.spooled, 3'001U);  // including the sums of the one group
     ExpectAllAccountedFor(metrics);
   }
@@ -144,8 +144,8 @@
   collector.Stop();
   EXPECT_EQ(received_.size(), 3'000U);
   EXPECT_EQ(collector.possibly_repeated, 0U);
-  EXPECT_EQ(exporter.Figures()[0].recovered, 3'001U);
-  ExpectAllAccountedFor(exporter.Figures()[0]);
+  EXPECT_EQ(exporter.Metrics()[0].recovered, 3'001U);
+  ExpectAllAccountedFor(exporter.Metrics()[0]);
 }
 
 TEST_F(FlowOutage, ResendsUnacknowledgedRecordsWhenCollectorRestarts) {
@@ -167,7 +167,7 @@
       next += 2'000;
       ASSERT_TRUE(WaitFor([&] { return collector.calls + collector.attempts >= next; }));
       collector.Stop();
-      ASSERT_TRUE(transport == Transport::kUdp || WaitFor([&] { return !exporter.Figures()[0].up; }));
+      ASSERT_TRUE(transport == Transport::kUdp || WaitFor([&] { return !exporter.Metrics()[0].up; }));
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
       start();
     }
@@ -175,7 +175,7 @@
     ASSERT_TRUE(WaitFor([&] { return collector.calls + collector.attempts >= next + 2'000; }));
     exporter.Stop();
     collector.Stop();
-    const CollectorMetrics metrics = exporter.Figures()[0];
+    const CollectorMetrics metrics = exporter.Metrics()[0];
     EXPECT_EQ(received_.size(), next + 2'000);
     EXPECT_EQ(unmarked_repeats_, 0U);
     EXPECT_LE(received_order_.size() - received_.size(), collector.possibly_repeated);
@@ -188,12 +188,12 @@
   disk.SetRoom(100'000);
   Ring ring(16'384);
   ExporterSettings settings = MakeSettings(Transport::kTcp, true);
-  settings.collectors[0].queue = 1024;
+  settings.collectors[0].max_queued_records = 1024;
   Exporter exporter(settings, &ring, &disk);
   PushRecords(&ring, 0, 10'000);
-  ASSERT_TRUE(WaitFor([&] { return exporter.Figures()[0].queue_full > 5'000; }));
+  ASSERT_TRUE(WaitFor([&] { return exporter.Metrics()[0].queue_full > 5'000; }));
   exporter.Stop();
-  const CollectorMetrics metrics = exporter.Figures()[0];
+  const CollectorMetrics metrics = exporter.Metrics()[0];
   EXPECT_GT(metrics.spooled, 100U);
   EXPECT_GT(metrics.spool_errors, 0U);
   EXPECT_EQ(metrics.spool_error, "No space left on device");
@@ -208,7 +208,7 @@
   collector.StartUdp();
   Ring ring(16'384);
   ExporterSettings settings = MakeSettings(Transport::kUdp, false);
-  settings.collectors[0].template_refresh_us = 5'000;
+  settings.collectors[0].template_refresh_interval_us = 5'000;
   Exporter exporter(settings, &ring);
   PushRecords(&ring, 0, 4'000);
   exporter.Stop();
@@ -218,7 +218,7 @@
   EXPECT_GT(collector.decoder().counters().lost, 0U);
   EXPECT_GT(received_.size(), 2'000U);
   EXPECT_LT(received_.size(), 4'000U);
-  EXPECT_EQ(exporter.Figures()[0].sent, exporter.Figures()[0].taken);
+  EXPECT_EQ(exporter.Metrics()[0].sent, exporter.Metrics()[0].taken);
 }
 
 TEST_F(FlowOutage, SelectsWholeCallsAndExportsSelectionCounts) {
@@ -226,15 +226,15 @@
   std::uint64_t observed = 0, selected = 0;
   collector.OnRecord([&](const DecodedRecord& record) {
     if (record.template_id != kSamplesTemplate) return;
-    observed = record.Number(Source::kObserved);
-    selected = record.Number(Source::kSelected);
-    EXPECT_EQ(record.Number(Source::kSelectorAlgorithm), 6U);
+    observed = record.Number(FieldId::kObserved);
+    selected = record.Number(FieldId::kSelected);
+    EXPECT_EQ(record.Number(FieldId::kSelectorAlgorithm), 6U);
   });
   collector.StartTcp(Collector::Mode::kRead);
   Ring ring(16'384);
   ExporterSettings settings = MakeSettings(Transport::kTcp, false);
-  settings.sample = 10;
-  settings.group_us = 3'600'000'000;
+  settings.sample_one_in = 10;
+  settings.group_interval_us = 3'600'000'000;
   Exporter exporter(settings, &ring);
   PushRecords(&ring, 0, 10'000);
   exporter.Stop();
@@ -271,19 +271,19 @@
   // Returns the error shown for a collector with this certificate, and checks that no record is sent to it.
   std::string ErrorForCertificate(const std::string& name, ExporterSettings settings,
                                   bool require_client_certificate = false) {
-    settings.collectors[0].link.confirm_time_us = 1'000'000;
+    settings.collectors[0].connection.confirm_time_us = 1'000'000;
     Collector collector(kCollector);
     StartTlsCollector(&collector, name, require_client_certificate);
     Ring ring(16'384);
     Exporter exporter(settings, &ring);
     PushRecords(&ring, 0, 100);
-    WaitFor([&] { return exporter.Figures()[0].failures >= 2; });
+    WaitFor([&] { return exporter.Metrics()[0].failures >= 2; });
     exporter.Stop();
     collector.Stop();
     EXPECT_EQ(received_.size(), 0U);
-    EXPECT_EQ(exporter.Figures()[0].sent, 0U);
-    ExpectAllAccountedFor(exporter.Figures()[0]);
-    return exporter.Figures()[0].last_error;
+    EXPECT_EQ(exporter.Metrics()[0].sent, 0U);
+    ExpectAllAccountedFor(exporter.Metrics()[0]);
+    return exporter.Metrics()[0].last_error;
   }
 
   Authority authority_;
@@ -301,8 +301,8 @@
   WaitFor([&] { return collector.calls + collector.attempts == 10'000; });
   collector.Stop();
   EXPECT_EQ(received_.size(), 10'000U);
-  EXPECT_EQ(exporter.Figures()[0].sent, exporter.Figures()[0].taken);
-  EXPECT_EQ(exporter.Figures()[0].last_error, "");
+  EXPECT_EQ(exporter.Metrics()[0].sent, exporter.Metrics()[0].taken);
+  EXPECT_EQ(exporter.Metrics()[0].last_error, "");
 }
 
 TEST_F(FlowTls, RejectsBadCollectorCertificateWithReason) {
@@ -362,7 +362,7 @@
   collector.Stop();
   EXPECT_EQ(received_.size(), 4'000U);
   EXPECT_EQ(unmarked_repeats_, 0U);
-  ExpectAllAccountedFor(exporter.Figures()[0]);
+  ExpectAllAccountedFor(exporter.Metrics()[0]);
 }
 
 TEST_F(FlowTls, DisconnectsWhenCollectorCertificateExpires) {
@@ -375,15 +375,15 @@
   Exporter exporter(settings, &ring);
   PushRecords(&ring, 0, 1'000);
   ASSERT_TRUE(WaitFor([&] { return collector.calls + collector.attempts == 1'000; }));
-  ASSERT_TRUE(WaitFor([&] { return exporter.Figures()[0].failures > 0; }));
-  EXPECT_NE(exporter.Figures()[0].last_error.find("certificate has expired"), std::string::npos)
-      << exporter.Figures()[0].last_error;
+  ASSERT_TRUE(WaitFor([&] { return exporter.Metrics()[0].failures > 0; }));
+  EXPECT_NE(exporter.Metrics()[0].last_error.find("certificate has expired"), std::string::npos)
+      << exporter.Metrics()[0].last_error;
   PushRecords(&ring, 1'000, 1'000);
   exporter.Stop();
   collector.Stop();
   EXPECT_EQ(received_.size(), 1'000U);
-  EXPECT_GE(exporter.Figures()[0].waiting, 1'000U);
-  ExpectAllAccountedFor(exporter.Figures()[0]);
+  EXPECT_GE(exporter.Metrics()[0].waiting, 1'000U);
+  ExpectAllAccountedFor(exporter.Metrics()[0]);
 }
 
 }  // namespace
--- a/tests/flow_spool_test.cpp
+++ b/tests/flow_spool_test.cpp
@@ -5,7 +5,7 @@
 
 #include <set>
 
-#include "flow/catch_up.h"
+#include "flow/catch_up_scheduler.h"
 #include "flow/in_flight.h"
 #include "flow/record_codec.h"
 #include "flow/spool.h"
@@ -33,8 +33,8 @@
 SpoolSettings SmallSettings(std::uint64_t max_octets = 1U << 20U) {
   SpoolSettings settings;
   settings.folder = "spool";
-  settings.most_octets = max_octets;
-  settings.segment_octets = 4096;
+  settings.max_octets = max_octets;
+  settings.max_segment_octets = 4096;
   return settings;
 }
 
--- a/tests/hard_cases_test.cpp
+++ b/tests/hard_cases_test.cpp
@@ -235,10 +235,10 @@
 }
 
 TEST_F(CallPath, RulesClassifyCallsAndAreReplacedAtomically) {
-  std::vector<expr::Mistake> mistakes;
+  std::vector<expr::Diagnostic> diagnostics;
   const auto make = [&](const char* text) {
-    auto classifier = edge::Classifier::Make(text, settings.class_names, {}, &mistakes);
-    EXPECT_TRUE(classifier) << expr::ToString(mistakes);
+    auto classifier = edge::Classifier::Compile(text, settings.class_names, {}, &diagnostics);
+    EXPECT_TRUE(classifier) << expr::ToString(diagnostics);
     node->SetClassifier(classifier);
   };
   make(
@@ -254,27 +254,27 @@
   make("rule none when false then redial;");
   Dial(2);
   EXPECT_EQ(gateway.Last(mgcp::Verb::kCrcx, "ds/")->Get("X-Class"), "slot-check");
-  EXPECT_FALSE(edge::Classifier::Make("rule x when line > 5 then refuse;", settings.class_names, {}, &mistakes));
+  EXPECT_FALSE(edge::Classifier::Compile("rule x when line > 5 then refuse;", settings.class_names, {}, &diagnostics));
 }
 
 TEST_F(CallPath, RulesUseExchangeAndZoneNamesOfSettings) {
-  const std::vector<edge::Place> places = {{1, "atlanta", "east"}, {2, "new-orleans", "gulf"}};
-  std::vector<expr::Mistake> mistakes;
+  const std::vector<edge::NamedExchange> places = {{1, "atlanta", "east"}, {2, "new-orleans", "gulf"}};
+  std::vector<expr::Diagnostic> diagnostics;
   node->SetClassifier(
-      edge::Classifier::Make("rule gulf when has(to_zone) and to_zone == gulf then refuse pause 1s;"
-                             "rule a when has(to) and to in [atlanta] then class = slot-hold;",
-                             settings.class_names, {}, &mistakes, places));
-  ASSERT_TRUE(mistakes.empty()) << expr::ToString(mistakes);
+      edge::Classifier::Compile("rule gulf when has(to_zone) and to_zone == gulf then refuse pause 1s;"
+                                "rule a when has(to) and to in [atlanta] then class = slot-hold;",
+                                settings.class_names, {}, &diagnostics, places));
+  ASSERT_TRUE(diagnostics.empty()) << expr::ToString(diagnostics);
   Dial(1);
   EXPECT_EQ(gateway.Last(mgcp::Verb::kCrcx, "ds/")->Get("X-Class"), "slot-hold");
   Dial(2, "110020007");
   EXPECT_EQ(FinalAnswers(2, "refused"), 1U);
-  EXPECT_FALSE(
-      edge::Classifier::Make("rule x when to == atlanta then redial;", settings.class_names, {}, &mistakes, places));
-  mistakes.clear();
-  EXPECT_FALSE(edge::Classifier::Make("rule x when has(to) and to == atlnta then redial;", settings.class_names, {},
-                                      &mistakes, places));
-  EXPECT_NE(expr::ToString(mistakes).find("did you mean 'atlanta'"), std::string::npos);
+  EXPECT_FALSE(edge::Classifier::Compile("rule x when to == atlanta then redial;", settings.class_names, {},
+                                         &diagnostics, places));
+  diagnostics.clear();
+  EXPECT_FALSE(edge::Classifier::Compile("rule x when has(to) and to == atlnta then redial;", settings.class_names, {},
+                                         &diagnostics, places));
+  EXPECT_NE(expr::ToString(diagnostics).find("did you mean 'atlanta'"), std::string::npos);
 }
 
 // Keeps all log lines of an edge.
@@ -297,13 +297,13 @@
   node.reset();
   node = std::make_unique<edge::EdgeNode>(settings, &runtime, &recorded);
   runtime.RunFor(100 * kMs);
-  std::vector<expr::Mistake> mistakes;
+  std::vector<expr::Diagnostic> diagnostics;
   // Odd versions of the rules assign the two-circuit class and the tag "odd", even versions the one-circuit class and
   // the tag "even".
-  const auto odd = edge::Classifier::Make("rule o when true then class = slot-hold, tag \"odd\";", settings.class_names,
-                                          {}, &mistakes);
-  const auto even = edge::Classifier::Make("rule e when true then class = slot-check, tag \"even\";",
-                                           settings.class_names, {}, &mistakes);
+  const auto odd = edge::Classifier::Compile("rule o when true then class = slot-hold, tag \"odd\";",
+                                             settings.class_names, {}, &diagnostics);
+  const auto even = edge::Classifier::Compile("rule e when true then class = slot-check, tag \"even\";",
+                                              settings.class_names, {}, &diagnostics);
   for (int round = 0; round < 200; ++round) {
     node->SetClassifier(node->rules_version() % 2 == 0 ? odd : even);
     const int line = 1 + round % 20;
@@ -345,10 +345,10 @@
 }
 
 TEST_F(CallPath, RulesRefuseFrequentCallerUntilWindowExpires) {
-  std::vector<expr::Mistake> mistakes;
+  std::vector<expr::Diagnostic> diagnostics;
   node->SetClassifier(
-      edge::Classifier::Make("counter tries by calling over 10s; rule flood when tries > 3 then refuse pause 4s;",
-                             settings.class_names, {}, &mistakes));
+      edge::Classifier::Compile("counter tries by calling over 10s; rule flood when tries > 3 then refuse pause 4s;",
+                                settings.class_names, {}, &diagnostics));
   const auto try_once = [&](int line) {
     const std::size_t refused = FinalAnswers(line, "refused");
     Dial(line);
@@ -365,9 +365,9 @@
 }
 
 TEST_F(CallPath, RuleLimitsCallerTimeoutAcrossWallClockSteps) {
-  std::vector<expr::Mistake> mistakes;
-  node->SetClassifier(edge::Classifier::Make("rule night when time in 22:00 .. 6:00 then budget = 500ms;",
-                                             settings.class_names, {}, &mistakes));
+  std::vector<expr::Diagnostic> diagnostics;
+  node->SetClassifier(edge::Classifier::Compile("rule night when time in 22:00 .. 6:00 then budget = 500ms;",
+                                                settings.class_names, {}, &diagnostics));
   const auto caller_timeout = [&](int line) {
     Dial(line);
     const int given = std::stoi(std::string(gateway.Last(mgcp::Verb::kCrcx, "ds/")->Get("X-Patience")));
--- a/tests/ws_test.cpp
+++ b/tests/ws_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_EQ(ErrorCodeOf(std::string(10'000, 'x')), "too-long");
   EXPECT_EQ(ErrorCodeOf(std::string(4'000, '[') + std::string(4'000, ']')), "too-deep");
   ApiLimits wide;
-  wide.most_octets = 1'000'000;
+  wide.max_octets = 1'000'000;
   EXPECT_EQ(ErrorCodeOf(std::string(10'000, '['), wide), "too-deep");  // must not reach the recursive JSON parser
   // A token with names of the maximum length is accepted.
   const std::string token =
@@ -96,8 +96,8 @@
   ApiOverEdge() {
     edge::ApiSettings api;
     api.session_manager.token_keys = {"a key of some length"};
-    api.session_manager.session.most_calls = 2;
-    api.session_manager.session.commands = {10.0, 12.0};
+    api.session_manager.session.max_calls = 2;
+    api.session_manager.session.command_limit = {10.0, 12.0};
     settings.api = api;
     StartEdge();
     runtime.SetWall(1'900'000'000'000'000);
@@ -262,7 +262,7 @@
 class CountingCallService final : public CallService {
  public:
   bool Classify(core::CallRequest*, const std::string&, bool*, TimeUs*) override { return true; }
-  CallId Take(const core::CallRequest&, core::CallOwner*, std::string_view) override { return ++calls; }
+  CallId AcceptCall(const core::CallRequest&, core::CallOwner*, std::string_view) override { return ++calls; }
   void HangUp(CallId) override { ++hung_up; }
   json List(const std::string&) override { return json::array(); }
   CallId calls = 0;
@@ -275,8 +275,8 @@
   WsTransport() {
     settings_.listen = {0x7f000001, 0};
     settings_.handshake_timeout_us = 300'000;
-    settings_.idle_us = 1'000'000;
-    settings_.most_connections = 8;
+    settings_.idle_timeout_us = 1'000'000;
+    settings_.max_connections = 8;
     session_manager_ = std::make_unique<SessionManager>(SessionManagerSettings{}, &runtime_, &calls_);
     server_ = std::make_unique<Server>(&runtime_.context(), settings_, session_manager_.get());
     thread_ = std::thread([this] { runtime_.Run(); });
