--- a/src/lab/collector.cpp
+++ b/src/lab/collector.cpp
@@ -12,15 +12,15 @@
 using asio::ip::tcp;
 using asio::ip::udp;
 
-constexpr std::size_t kLargest = 65'536;
-constexpr auto kNap = std::chrono::milliseconds(1);
-constexpr auto kLinger = std::chrono::milliseconds(20);
+constexpr std::size_t kMaxMessageOctets = 65'536;
+constexpr auto kPollInterval = std::chrono::milliseconds(1);
+constexpr auto kAlertDelay = std::chrono::milliseconds(20);
 
-// What was begun on a socket that is closed now ends soon.
-void Drain(asio::io_context* context, const bool& done) {
+// Waits for the completion of an asynchronous operation whose socket has been closed.
+void AwaitCompletion(asio::io_context* context, const bool& done) {
   while (!done) {
     context->restart();
-    context->run_for(kNap);
+    context->run_for(kPollInterval);
   }
 }
 
@@ -47,16 +47,16 @@
 }
 
 void Collector::ReadUdp(udp::socket socket) {
-  std::vector<char> buffer(kLargest);
+  std::vector<char> buffer(kMaxMessageOctets);
   while (running_) {
     boost::system::error_code error;
     const std::size_t size = socket.receive(asio::buffer(buffer), 0, error);
     if (error) {
-      std::this_thread::sleep_for(kNap);
+      std::this_thread::sleep_for(kPollInterval);
     } else if (lose_one_in_ > 0 && ++datagrams_ % lose_one_in_ == 0) {
       ++lost_datagrams;
     } else {
-      Take({buffer.data(), size});
+      ProcessMessage({buffer.data(), size});
     }
   }
 }
@@ -66,7 +66,7 @@
     boost::system::error_code error;
     tcp::socket socket = acceptor.accept(error);
     if (error) {
-      std::this_thread::sleep_for(kNap);
+      std::this_thread::sleep_for(kPollInterval);
       continue;
     }
     ++connections;
@@ -74,28 +74,28 @@
       socket.set_option(asio::socket_base::linger(true, 0));
       continue;
     }
-    decoder_.Forget();  // templates are of their connection
+    decoder_.Forget();  // templates are valid on one connection only
     if (mode == Mode::kStall) {
       socket.set_option(asio::socket_base::receive_buffer_size(4096));
-      while (running_) std::this_thread::sleep_for(kNap);
-    } else if (keys_ == nullptr) {
+      while (running_) std::this_thread::sleep_for(kPollInterval);
+    } else if (tls_context_ == nullptr) {
       ReadStream(socket);
     } else {
-      asio::ssl::stream<tcp::socket> stream(std::move(socket), *keys_);
+      asio::ssl::stream<tcp::socket> stream(std::move(socket), *tls_context_);
       bool done = false;
       boost::system::error_code failed;
       stream.async_handshake(asio::ssl::stream_base::server, [&](const boost::system::error_code& e) {
         done = true;
         failed = e;
       });
-      if (!Finish(done)) {
+      if (!RunUntilDone(done)) {
         stream.lowest_layer().close();
-        Drain(&context_, done);
+        AwaitCompletion(&context_, done);
       } else if (failed) {
-        // The alert that says why is let out before the connection goes.
+        // Leaves time for the TLS alert to be sent before the connection is closed.
         boost::system::error_code ignored;
         stream.lowest_layer().shutdown(tcp::socket::shutdown_send, ignored);
-        std::this_thread::sleep_for(kLinger);
+        std::this_thread::sleep_for(kAlertDelay);
       } else {
         ReadStream(stream);
       }
@@ -103,10 +103,10 @@
   }
 }
 
-bool Collector::Finish(const bool& done) {
+bool Collector::RunUntilDone(const bool& done) {
   while (running_ && !done) {
     context_.restart();
-    context_.run_for(kNap);
+    context_.run_for(kPollInterval);
   }
   return done;
 }
@@ -114,7 +114,7 @@
 template <typename Stream>
 void Collector::ReadStream(Stream& stream) {
   std::string received;
-  std::vector<char> buffer(kLargest);
+  std::vector<char> buffer(kMaxMessageOctets);
   boost::system::error_code error;
   while (!error) {
     bool done = false;
@@ -124,34 +124,34 @@
       error = e;
       size = n;
     });
-    if (!Finish(done)) {
+    if (!RunUntilDone(done)) {
       stream.lowest_layer().close();
-      Drain(&context_, done);
+      AwaitCompletion(&context_, done);
       return;
     }
     received.append(buffer.data(), size);
-    std::size_t taken = 0;
+    std::size_t consumed = 0;
     while (true) {
-      const std::string_view rest = std::string_view(received).substr(taken);
+      const std::string_view rest = std::string_view(received).substr(consumed);
       const std::size_t length = flow::Decoder::LengthOfNext(rest);
       if (length == 0 || length > rest.size()) break;
-      Take(rest.substr(0, length));
-      taken += length;
+      ProcessMessage(rest.substr(0, length));
+      consumed += length;
     }
-    received.erase(0, taken);
+    received.erase(0, consumed);
   }
 }
 
 void Collector::UseTls(const std::string& certificate, const std::string& key, const std::string& authorities) {
-  keys_ = std::make_unique<asio::ssl::context>(asio::ssl::context::tls_server);
-  keys_->use_certificate_chain_file(certificate);
-  keys_->use_private_key_file(key, asio::ssl::context::pem);
+  tls_context_ = std::make_unique<asio::ssl::context>(asio::ssl::context::tls_server);
+  tls_context_->use_certificate_chain_file(certificate);
+  tls_context_->use_private_key_file(key, asio::ssl::context::pem);
   if (authorities.empty()) return;
-  keys_->load_verify_file(authorities);
-  keys_->set_verify_mode(asio::ssl::verify_peer | asio::ssl::verify_fail_if_no_peer_cert);
+  tls_context_->load_verify_file(authorities);
+  tls_context_->set_verify_mode(asio::ssl::verify_peer | asio::ssl::verify_fail_if_no_peer_cert);
 }
 
-void Collector::Take(std::string_view message) {
+void Collector::ProcessMessage(std::string_view message) {
   if (on_message_) on_message_(message);
   decoder_.Message(
       message,
--- a/src/lab/collector.h
+++ b/src/lab/collector.h
@@ -1,6 +1,6 @@
-// The stand-in collector: reads flow records over UDP or one TCP or TLS connection after the other by its own decoder,
-// counts them, and misbehaves on demand. A thread of its own. After Stop it can be started again, as one that was
-// restarted.
+// Stand-in flow collector with fault injection: receives flow records over UDP, or over TCP or TLS connections one at a
+// time, decodes and counts them. It runs on its own thread. After Stop it can be started again, to emulate a collector
+// that was restarted.
 #ifndef CROFTRUN_LAB_COLLECTOR_H_
 #define CROFTRUN_LAB_COLLECTOR_H_
 
@@ -17,35 +17,39 @@
 
 namespace croftrun::lab {
 
+// A flow collector. The counters can be read from other threads while it runs.
 class Collector {
  public:
-  enum class Mode : std::uint8_t { kRead, kStall, kReset };  // never reads; resets each connection at once
+  // kRead reads normally, kStall accepts a connection and never reads, kReset resets each connection immediately.
+  enum class Mode : std::uint8_t { kRead, kStall, kReset };
 
   explicit Collector(const core::Address& address) : address_(address) {}
   ~Collector() { Stop(); }
   Collector(const Collector&) = delete;
   Collector& operator=(const Collector&) = delete;
 
-  // Called on the collector's thread for each record and each whole message; to be set before the start.
+  // Callbacks for each record and each complete message. They run on the collector's thread and must be set before the
+  // start.
   void OnRecord(flow::Decoder::OnRecord on_record) { on_record_ = std::move(on_record); }
   void OnMessage(std::function<void(std::string_view)> on_message) { on_message_ = std::move(on_message); }
-  // Over UDP one datagram in so many is lost; 0: none.
+  // Discards one in `datagrams` UDP datagrams; 0: none.
   void LoseOneIn(std::uint64_t datagrams) { lose_one_in_ = datagrams; }
-  // Connections are over TLS; with authorities only clients that show a certificate of theirs are let in.
+  // Uses TLS for connections. If `authorities` is not empty, clients must present a certificate issued by one of them.
   void UseTls(const std::string& certificate, const std::string& key, const std::string& authorities);
-  // Throw boost::system::system_error where the address cannot be bound or a file is at fault.
+  // Throw boost::system::system_error if the address cannot be bound or a file cannot be used.
   void StartUdp();
   void StartTcp(Mode mode);
   void Stop();
 
-  // Of the attempts, those that held a circuit are set-ups.
+  // Records received, by kind; connections; discarded datagrams. `set_ups` counts the attempts that held a circuit.
   std::atomic<std::uint64_t> calls{0}, attempts{0}, set_ups{0}, groups{0}, intervals{0}, connections{0},
       lost_datagrams{0};
-  // Steady clock, microseconds: when a record last came that was not told as it happened.
+  // Steady clock time, in microseconds, of the last record that was spooled or sent again.
   std::atomic<std::int64_t> last_old_us{0};
-  std::atomic<std::uint64_t> spooled{0}, possibly_repeated{0};  // of calls and attempts
-  // Once stopped.
+  std::atomic<std::uint64_t> spooled{0}, possibly_repeated{0};  // call and attempt records
+  // To be read after Stop.
   const flow::Decoder& decoder() const { return decoder_; }
+  // The last values the exporter reported about itself, and the number of type records.
   std::uint64_t told_not_sent = 0, told_exported = 0, types = 0;
 
  private:
@@ -53,9 +57,9 @@
   void Accept(boost::asio::ip::tcp::acceptor acceptor, Mode mode);
   template <typename Stream>
   void ReadStream(Stream& stream);
-  // Runs what was begun until it is done or the collector is stopped.
-  bool Finish(const bool& done);
-  void Take(std::string_view message);
+  // Runs the I/O context until `done` is set or the collector is stopped. Returns `done`.
+  bool RunUntilDone(const bool& done);
+  void ProcessMessage(std::string_view message);
 
   core::Address address_;
   boost::asio::io_context context_;
@@ -65,7 +69,7 @@
   flow::Decoder::OnRecord on_record_;
   std::function<void(std::string_view)> on_message_;
   std::uint64_t lose_one_in_ = 0, datagrams_ = 0;
-  std::unique_ptr<boost::asio::ssl::context> keys_;
+  std::unique_ptr<boost::asio::ssl::context> tls_context_;
 };
 
 }  // namespace croftrun::lab
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -9,12 +9,12 @@
 namespace croftrun::lab {
 namespace {
 
-// Edges audit their circuits and hear the roster before the first call.
-constexpr TimeUs kWarmUp = 1'000'000;
-// A person listens to a tone this long before hanging up.
-constexpr TimeUs kListen = 100'000;
-// Groups and processors are looked at as often, for the accounts of the day.
-constexpr TimeUs kSample = 500'000;
+// Time before the first call in which the edges audit their circuits and receive the roster.
+constexpr TimeUs kEdgeStartUpTime = 1'000'000;
+// A caller listens to a tone for this time before hanging up.
+constexpr TimeUs kToneListenTime = 100'000;
+// Groups and processors are sampled at this interval, for DayAccounts.
+constexpr TimeUs kSampleInterval = 500'000;
 
 NetworkSettings NetworkSettingsOf(const Scenario& s) {
   NetworkSettings settings;
@@ -39,15 +39,15 @@
       roster_(&path_, RosterAddress(scenario), scenario.roster_lag_us),
       free_lines_(static_cast<std::size_t>(scenario.edges)) {
   report_.classes.resize(scenario_.classes.size());
-  std::vector<RosterLine> lines;
+  std::vector<RosterEntry> entries;
   for (int i = 0; i < scenario_.exchanges; ++i) {
     for (int j = 0; j < i; ++j) {
       if (const unsigned circuits = scenario_.CircuitsBetween(j, i); circuits > 0) network_.AddGroup(j, i, circuits);
     }
-    ids_[i] = static_cast<std::uint32_t>(i) * 1000 + 1;
-    lines.push_back({ids_[i], i, network_.At(i).zone, "ready", 0, 0});
+    roster_ids_[i] = static_cast<std::uint32_t>(i) * 1000 + 1;
+    entries.push_back({roster_ids_[i], i, network_.At(i).zone, "ready", 0, 0});
     if (i >= scenario_.edges) {
-      stand_ins_[i] = std::make_unique<StandIn>(&network_, runtime_, i);
+      emulated_exchanges_[i] = std::make_unique<EmulatedExchange>(&network_, runtime_, i);
       continue;
     }
     GatewaySettings g;
@@ -57,37 +57,40 @@
     g.domain = DomainOf(i);
     g.lines = scenario_.lines;
     g.transactions.history_us = 10'000'000;
-    gateways_[i] = std::make_unique<Gateway>(
-        g, &path_, &network_, [this, i](int line, Heard heard, TimeUs pause) { OnHeard(i, line, heard, pause); });
+    gateways_[i] =
+        std::make_unique<Gateway>(g, &path_, &network_, [this, i](int line, CallerEvent event, TimeUs retry_after_us) {
+          OnCallerEvent(i, line, event, retry_after_us);
+        });
     for (int line = 1; line <= scenario_.lines / 2; ++line) free_lines_[static_cast<std::size_t>(i)].insert(line);
   }
-  roster_.Begin(std::move(lines));
-  pull_ = scenario_.between;
+  roster_.SetInitialEntries(std::move(entries));
+  traffic_matrix_ = scenario_.between;
   for (int i = 0; i < scenario_.edges; ++i) {
     double row = 1.0;
-    if (!pull_.empty()) {
-      const auto& towards = pull_[static_cast<std::size_t>(i)];
-      row = std::accumulate(towards.begin(), towards.end(), 0.0) - towards[static_cast<std::size_t>(i)];
+    if (!traffic_matrix_.empty()) {
+      const auto& rates = traffic_matrix_[static_cast<std::size_t>(i)];
+      row = std::accumulate(rates.begin(), rates.end(), 0.0) - rates[static_cast<std::size_t>(i)];
     }
-    from_.push_back(row);
+    origin_shares_.push_back(row);
   }
-  const double all = std::accumulate(from_.begin(), from_.end(), 0.0);
-  for (double& share : from_) share = all > 0.0 ? share / all : 1.0 / static_cast<double>(scenario_.edges);
+  const double all = std::accumulate(origin_shares_.begin(), origin_shares_.end(), 0.0);
+  for (double& share : origin_shares_) share = all > 0.0 ? share / all : 1.0 / static_cast<double>(scenario_.edges);
 }
 
 Day::~Day() { *alive_ = false; }
 
-double Day::Unit() { return static_cast<double>(random_() >> 11U) * 0x1.0p-53; }
+double Day::UniformRandom() { return static_cast<double>(random_() >> 11U) * 0x1.0p-53; }
 
-void Day::After(TimeUs delay, std::function<void()> what) {
-  runtime_->StartTimer(delay, [alive = alive_, what = std::move(what)] {
-    if (*alive) what();
+void Day::Schedule(TimeUs delay, std::function<void()> callback) {
+  runtime_->StartTimer(delay, [alive = alive_, callback = std::move(callback)] {
+    if (*alive) callback();
   });
 }
 
 double Day::Progress() const {
-  if (began_ == 0) return 0.0;
-  return std::min(1.0, static_cast<double>(runtime_->Now() - began_) / static_cast<double>(ends_ - began_));
+  if (start_time_ == 0) return 0.0;
+  return std::min(1.0,
+                  static_cast<double>(runtime_->Now() - start_time_) / static_cast<double>(end_time_ - start_time_));
 }
 
 void Day::StartEdge(int number) {
@@ -112,84 +115,90 @@
                        {"release_ms", scenario_.release_us / 1000},
                        {"drain_grace_ms", scenario_.drain_grace_us / 1000}});
   for (int i = 0; i < scenario_.edges; ++i) StartEdge(i);
-  After(kWarmUp, [this, done = std::move(done)] {
-    began_ = runtime_->Now();
-    ends_ = began_ + scenario_.length_us;
+  Schedule(kEdgeStartUpTime, [this, done = std::move(done)] {
+    start_time_ = runtime_->Now();
+    end_time_ = start_time_ + scenario_.length_us;
     trace_->Fact("day-begins", {{"length_us", scenario_.length_us}});
-    Sample();
+    RecordSample();
     for (int i = 0; i < scenario_.edges; ++i) {
-      if (RateOf(i) > 0.0) After(static_cast<TimeUs>(Exponential(1e6 / RateOf(i))), [this, i] { Arrive(i); });
+      if (ArrivalRate(i) > 0.0)
+        Schedule(static_cast<TimeUs>(ExponentialRandom(1e6 / ArrivalRate(i))), [this, i] { GenerateCall(i); });
     }
-    if (scenario_.drift_us > 0 && !pull_.empty()) After(scenario_.drift_us, [this] { Drift(); });
-    for (const Fault& fault : scenario_.faults) After(fault.at_us, [this, fault] { Inflict(fault); });
-    // Half way into the settling, whoever still talks hangs up: what is up at the end was forgotten by somebody.
-    After(scenario_.length_us + scenario_.settle_us / 2, [this] {
+    if (scenario_.drift_us > 0 && !traffic_matrix_.empty()) Schedule(scenario_.drift_us, [this] { ApplyDrift(); });
+    for (const Fault& fault : scenario_.faults) Schedule(fault.at_us, [this, fault] { StartFault(fault); });
+    // Half way through the settling time all remaining callers hang up. A call that is still up at the end shows
+    // that some party lost track of it.
+    Schedule(scenario_.length_us + scenario_.settle_us / 2, [this] {
       for (const auto& [id, caller] : std::map(callers_)) {
         if (!caller.answered) continue;
         gateways_.at(caller.from)->HangUp(caller.line);
-        Leave(id);
+        RemoveCaller(id);
       }
     });
-    After(scenario_.length_us + scenario_.settle_us, [this, done] {
+    Schedule(scenario_.length_us + scenario_.settle_us, [this, done] {
       report_.still_up = callers_.size();
       done();
     });
   });
 }
 
-double Day::Shape() const {
+double Day::LoadFactor() const {
   const auto& shape = scenario_.shape;
   if (shape.empty()) return 1.0;
-  const TimeUs at = runtime_->Now() - began_;
+  const TimeUs at = runtime_->Now() - start_time_;
   const auto after = std::find_if(shape.begin(), shape.end(), [&](const auto& point) { return point.first > at; });
   if (after == shape.begin()) return shape.front().second;
   if (after == shape.end()) return shape.back().second;
   const auto before = std::prev(after);
-  const double along = static_cast<double>(at - before->first) / static_cast<double>(after->first - before->first);
-  return before->second + along * (after->second - before->second);
+  const double fraction = static_cast<double>(at - before->first) / static_cast<double>(after->first - before->first);
+  return before->second + fraction * (after->second - before->second);
 }
 
-double Day::RateOf(int from) const {
-  // Not under a hundredth: a day whose load falls to nothing must still find its way back.
-  const double even = std::max(0.01, Shape()) * scenario_.calls_per_s * from_[static_cast<std::size_t>(from)];
-  if (hot_.empty()) return even;
-  const double hot = scenario_.calls_per_s * hot_share_ / static_cast<double>(hot_.size());
-  return hot_.count(from) > 0 ? even + hot : even;
+double Day::ArrivalRate(int from) const {
+  // At least 1% of the nominal rate: the next arrival, which re-evaluates the rate, must come even if the load falls
+  // to zero.
+  const double rate =
+      std::max(0.01, LoadFactor()) * scenario_.calls_per_s * origin_shares_[static_cast<std::size_t>(from)];
+  if (hot_edges_.empty()) return rate;
+  const double hot = scenario_.calls_per_s * hot_share_ / static_cast<double>(hot_edges_.size());
+  return hot_edges_.count(from) > 0 ? rate + hot : rate;
 }
 
-void Day::Drift() {
-  // Each pull by a factor of mean 1, lognormal of the day's variation; from the usual pulls, so that it stays bounded.
+void Day::ApplyDrift() {
+  // Multiplies each nominal value by a lognormal factor of mean 1 and the scenario's coefficient of variation. Starting
+  // from the nominal values keeps the drift bounded.
   const double sigma = std::sqrt(std::log1p(scenario_.drift_cv * scenario_.drift_cv));
-  for (std::size_t a = 0; a < pull_.size(); ++a) {
-    for (std::size_t b = 0; b < pull_.size(); ++b) {
-      const double normal = std::sqrt(-2.0 * std::log(1.0 - Unit())) * std::cos(6.283185307179586 * Unit());
-      pull_[a][b] = scenario_.between[a][b] * std::exp(sigma * normal - sigma * sigma / 2.0);
+  for (std::size_t a = 0; a < traffic_matrix_.size(); ++a) {
+    for (std::size_t b = 0; b < traffic_matrix_.size(); ++b) {
+      const double normal =
+          std::sqrt(-2.0 * std::log(1.0 - UniformRandom())) * std::cos(6.283185307179586 * UniformRandom());
+      traffic_matrix_[a][b] = scenario_.between[a][b] * std::exp(sigma * normal - sigma * sigma / 2.0);
     }
   }
-  After(scenario_.drift_us, [this] { Drift(); });
+  Schedule(scenario_.drift_us, [this] { ApplyDrift(); });
 }
 
-void Day::Sample() {
+void Day::RecordSample() {
   nlohmann::json groups = nlohmann::json::array(), waits = nlohmann::json::array();
   for (int a = 0; a < scenario_.exchanges; ++a) {
-    waits.push_back(network_.At(a).alive ? static_cast<double>(network_.Wait(a)) / 1000.0 : -1.0);
+    waits.push_back(network_.At(a).alive ? static_cast<double>(network_.QueueDelay(a)) / 1000.0 : -1.0);
     for (int b = a + 1; b < scenario_.exchanges; ++b) {
       if (const unsigned all = network_.Circuits(a, b); all > 0)
         groups.push_back({a, b, all - network_.IdleBetween(a, b), all});
     }
   }
   trace_->Fact("sample", {{"groups", groups}, {"waits_ms", waits}});
-  if (runtime_->Now() < ends_) After(kSample, [this] { Sample(); });
+  if (runtime_->Now() < end_time_) Schedule(kSampleInterval, [this] { RecordSample(); });
 }
 
-bool Day::Healthy(int number) const {
+bool Day::IsHealthy(int number) const {
   const ExchangeState& at = network_.At(number);
   const bool warm = at.started_us == 0 || runtime_->Now() >= at.started_us + scenario_.processor.warm_up_us;
-  return at.alive && !at.hung && at.slow <= 1.0 && warm && stalled_.count(number) == 0 && out_.count(number) == 0 &&
-         network_.Wait(number) * 4 < scenario_.processor.longest_wait_us;
+  return at.alive && !at.hung && at.slow <= 1.0 && warm && stalled_edges_.count(number) == 0 &&
+         out_of_service_.count(number) == 0 && network_.QueueDelay(number) * 4 < scenario_.processor.longest_wait_us;
 }
 
-void Day::TellTry(const Caller& caller, std::string_view how, TimeUs pause_us) {
+void Day::RecordAttempt(const Caller& caller, std::string_view outcome, TimeUs retry_after_us) {
   const TrafficClass& c = scenario_.classes[static_cast<std::size_t>(caller.call_class)];
   const auto width = static_cast<unsigned>(c.width);
   const unsigned direct = network_.IdleBetween(caller.from, caller.to);
@@ -202,282 +211,289 @@
                        {"line", caller.line},
                        {"to", caller.to},
                        {"class", c.name},
-                       {"how", how},
-                       {"began_us", caller.this_try},
-                       {"first_us", caller.first_try},
+                       {"how", outcome},
+                       {"began_us", caller.attempt_at},
+                       {"first_us", caller.first_attempt_at},
                        {"direct", direct >= width},
                        {"tandems", tandems},
-                       {"healthy", Healthy(caller.from) && Healthy(caller.to)},
-                       {"crowded", caller.called == crowded_},
-                       {"pause_ms", pause_us / 1000},
+                       {"healthy", IsHealthy(caller.from) && IsHealthy(caller.to)},
+                       {"crowded", caller.called == crowded_number_},
+                       {"pause_ms", retry_after_us / 1000},
                        {"alive", network_.At(caller.to).alive && !network_.At(caller.to).hung}});
 }
 
-// ---- callers ----
+// ---- Callers ----
 
-void Day::Arrive(int from) {
-  if (runtime_->Now() >= ends_) return;
-  if (RateOf(from) <= 0.0) return;
-  After(static_cast<TimeUs>(Exponential(1e6 / RateOf(from))), [this, from] { Arrive(from); });
+void Day::GenerateCall(int from) {
+  if (runtime_->Now() >= end_time_) return;
+  if (ArrivalRate(from) <= 0.0) return;
+  Schedule(static_cast<TimeUs>(ExponentialRandom(1e6 / ArrivalRate(from))), [this, from] { GenerateCall(from); });
   Caller caller;
   caller.from = from;
-  double shares = 0.0;
-  for (const TrafficClass& c : scenario_.classes) shares += c.share;
-  double draw = Unit() * shares;
+  double total_share = 0.0;
+  for (const TrafficClass& c : scenario_.classes) total_share += c.share;
+  double draw = UniformRandom() * total_share;
   for (std::size_t i = 0; i < scenario_.classes.size(); ++i) {
     caller.call_class = static_cast<int>(i);
     if ((draw -= scenario_.classes[i].share) < 0.0) break;
   }
-  if (pull_.empty()) {
+  if (traffic_matrix_.empty()) {
     const auto others = static_cast<double>(scenario_.exchanges - 1);
-    caller.to = static_cast<int>(Unit() * others);
+    caller.to = static_cast<int>(UniformRandom() * others);
     if (caller.to >= from) ++caller.to;
   } else {
-    const auto& towards = pull_[static_cast<std::size_t>(from)];
-    double left =
-        Unit() * (std::accumulate(towards.begin(), towards.end(), 0.0) - towards[static_cast<std::size_t>(from)]);
+    const auto& rates = traffic_matrix_[static_cast<std::size_t>(from)];
+    double remaining =
+        UniformRandom() * (std::accumulate(rates.begin(), rates.end(), 0.0) - rates[static_cast<std::size_t>(from)]);
     caller.to = from == 0 ? 1 : 0;
     for (int to = 0; to < scenario_.exchanges; ++to) {
-      if (to == from || towards[static_cast<std::size_t>(to)] <= 0.0) continue;
+      if (to == from || rates[static_cast<std::size_t>(to)] <= 0.0) continue;
       caller.to = to;
-      if ((left -= towards[static_cast<std::size_t>(to)]) < 0.0) break;
+      if ((remaining -= rates[static_cast<std::size_t>(to)]) < 0.0) break;
     }
   }
-  caller.most_redials = scenario_.redials;
-  if (abusers_ > 0.0 && Unit() < abusers_) {
-    caller.most_redials = abuse_redials_;
-    caller.patience_of_aim = abuse_patience_;
+  caller.max_redials = scenario_.redials;
+  if (abuser_share_ > 0.0 && UniformRandom() < abuser_share_) {
+    caller.max_redials = abuser_max_redials_;
+    caller.timeout_per_target = abuser_timeout_per_target_;
   }
-  const bool crowded = !crowded_.empty() && crowded_exchange_ != from && Unit() < crowded_share_;
+  const bool crowded = !crowded_number_.empty() && crowded_exchange_ != from && UniformRandom() < crowded_share_;
   if (crowded) {
     caller.to = crowded_exchange_;
-    caller.called = crowded_;
+    caller.called = crowded_number_;
   } else {
-    // A free line where the edge is real; any number where the exchange is emulated.
-    int line = scenario_.lines / 2 + 1 + static_cast<int>(Unit() * (scenario_.lines - scenario_.lines / 2 - 1));
+    // An idle line if the called exchange has a real edge; any line if it is emulated.
+    int line =
+        scenario_.lines / 2 + 1 + static_cast<int>(UniformRandom() * (scenario_.lines - scenario_.lines / 2 - 1));
     if (const auto gateway = gateways_.find(caller.to); gateway != gateways_.end()) {
-      for (int i = 0; i < 20 && !gateway->second->LineIdle(line); ++i)
-        line = scenario_.lines / 2 + 1 + static_cast<int>(Unit() * (scenario_.lines - scenario_.lines / 2 - 1));
+      for (int i = 0; i < 20 && !gateway->second->IsLineIdle(line); ++i)
+        line =
+            scenario_.lines / 2 + 1 + static_cast<int>(UniformRandom() * (scenario_.lines - scenario_.lines / 2 - 1));
     }
-    caller.called = NumberOf(caller.call_class, 0, caller.to, line);
+    caller.called = LineNumber(caller.call_class, 0, caller.to, line);
   }
-  caller.first_try = runtime_->Now();
+  caller.first_attempt_at = runtime_->Now();
   ++report_.classes[static_cast<std::size_t>(caller.call_class)].offered;
   const CallerId id = next_caller_++;
   trace_->Fact("offered", {{"from", from}, {"to", caller.to}, {"class", caller.call_class}, {"crowded", crowded}});
   callers_[id] = caller;
-  Try(id);
+  StartAttempt(id);
 }
 
-void Day::Try(CallerId id) {
+void Day::StartAttempt(CallerId id) {
   Caller& caller = callers_.at(id);
   auto& free = free_lines_[static_cast<std::size_t>(caller.from)];
-  // A phone that was just put down may still have its connection taken away: nobody dials from it yet.
+  // The connection of a line that has just gone on hook may not be deleted yet, so the line cannot be used.
   Gateway& gateway = *gateways_.at(caller.from);
-  const auto idle = std::find_if(free.begin(), free.end(), [&](int line) { return gateway.LineIdle(line); });
+  const auto idle = std::find_if(free.begin(), free.end(), [&](int line) { return gateway.IsLineIdle(line); });
   if (idle == free.end()) {
     ++report_.no_line;
-    return Leave(id);
+    return RemoveCaller(id);
   }
   caller.line = *idle;
   free.erase(idle);
-  at_line_[{caller.from, caller.line}] = id;
-  ++caller.tries;
-  ++caller.turn;
-  caller.this_try = runtime_->Now();
+  caller_by_line_[{caller.from, caller.line}] = id;
+  ++caller.attempts;
+  ++caller.generation;
+  caller.attempt_at = runtime_->Now();
   const TrafficClass& c = scenario_.classes[static_cast<std::size_t>(caller.call_class)];
   ++report_.classes[static_cast<std::size_t>(caller.call_class)].tries;
-  const double share = scenario_.try_share.first + Unit() * (scenario_.try_share.second - scenario_.try_share.first);
-  const double waits = caller.patience_of_aim > 0.0 ? caller.patience_of_aim * static_cast<double>(c.aim_us)
-                                                    : share * static_cast<double>(c.give_up_us);
-  const auto patience = std::max<TimeUs>(1000, static_cast<TimeUs>(waits) / 1000 * 1000);
-  gateway.Dial(caller.line, caller.called, patience);
-  const std::uint64_t turn = caller.turn;
-  After(patience, [this, id, turn] { GiveUp(id, turn); });
-  if (Unit() < scenario_.early_hang_up) {
-    After(static_cast<TimeUs>(Unit() * static_cast<double>(patience) * 0.9), [this, id, turn] {
+  const double share =
+      scenario_.try_share.first + UniformRandom() * (scenario_.try_share.second - scenario_.try_share.first);
+  const double timeout_us = caller.timeout_per_target > 0.0 ? caller.timeout_per_target * static_cast<double>(c.aim_us)
+                                                            : share * static_cast<double>(c.give_up_us);
+  const auto caller_timeout = std::max<TimeUs>(1000, static_cast<TimeUs>(timeout_us) / 1000 * 1000);
+  gateway.Dial(caller.line, caller.called, caller_timeout);
+  const std::uint64_t generation = caller.generation;
+  Schedule(caller_timeout, [this, id, generation] { OnCallerTimeout(id, generation); });
+  if (UniformRandom() < scenario_.early_hang_up) {
+    Schedule(static_cast<TimeUs>(UniformRandom() * static_cast<double>(caller_timeout) * 0.9), [this, id, generation] {
       const auto found = callers_.find(id);
-      if (found == callers_.end() || found->second.turn != turn || found->second.answered) return;
+      if (found == callers_.end() || found->second.generation != generation || found->second.answered) return;
       ++report_.classes[static_cast<std::size_t>(found->second.call_class)].hung_up;
-      TellTry(found->second, "hung-up", 0);
+      RecordAttempt(found->second, "hung-up", 0);
       gateways_.at(found->second.from)->HangUp(found->second.line);
-      Leave(id);
+      RemoveCaller(id);
     });
   }
 }
 
-void Day::GiveUp(CallerId id, std::uint64_t turn) {
+void Day::OnCallerTimeout(CallerId id, std::uint64_t generation) {
   const auto found = callers_.find(id);
-  if (found == callers_.end() || found->second.turn != turn || found->second.answered) return;
+  if (found == callers_.end() || found->second.generation != generation || found->second.answered) return;
   Caller& caller = found->second;
   ClassOutcome& outcome = report_.classes[static_cast<std::size_t>(caller.call_class)];
-  ++outcome.gave_up;
+  ++outcome.timed_out;
   ++outcome.unanswered;
-  TellTry(caller, "unanswered", 0);
+  RecordAttempt(caller, "unanswered", 0);
   gateways_.at(caller.from)->HangUp(caller.line);
-  Redial(id, 0);
+  ScheduleRedial(id, 0);
 }
 
-void Day::OnHeard(int exchange, int line, Heard heard, TimeUs pause_us) {
-  const auto at = at_line_.find({exchange, line});
-  if (at == at_line_.end()) return;
+void Day::OnCallerEvent(int exchange, int line, CallerEvent event, TimeUs retry_after_us) {
+  const auto at = caller_by_line_.find({exchange, line});
+  if (at == caller_by_line_.end()) return;
   const CallerId id = at->second;
   Caller& caller = callers_.at(id);
   ClassOutcome& outcome = report_.classes[static_cast<std::size_t>(caller.call_class)];
   const TrafficClass& c = scenario_.classes[static_cast<std::size_t>(caller.call_class)];
   const TimeUs now = runtime_->Now();
-  ++caller.turn;
-  const std::uint64_t turn = caller.turn;
-  if (heard == Heard::kAnswered) {
+  ++caller.generation;
+  const std::uint64_t generation = caller.generation;
+  if (event == CallerEvent::kAnswered) {
     caller.answered = true;
-    report_.set_up_delays.push_back(now - caller.this_try);
-    caller.in_time = now - caller.first_try <= c.aim_us;
+    report_.set_up_delays.push_back(now - caller.attempt_at);
+    caller.in_time = now - caller.first_attempt_at <= c.aim_us;
     ++(caller.in_time ? outcome.in_time : outcome.late);
-    TellTry(caller, caller.in_time ? "stands" : "stands-late", 0);
-    After(static_cast<TimeUs>(Exponential(static_cast<double>(c.holding_us))), [this, id, turn] {
+    RecordAttempt(caller, caller.in_time ? "stands" : "stands-late", 0);
+    Schedule(static_cast<TimeUs>(ExponentialRandom(static_cast<double>(c.holding_us))), [this, id, generation] {
       const auto found = callers_.find(id);
-      if (found == callers_.end() || found->second.turn != turn) return;
+      if (found == callers_.end() || found->second.generation != generation) return;
       gateways_.at(found->second.from)->HangUp(found->second.line);
-      Leave(id);
+      RemoveCaller(id);
     });
     return;
   }
-  if (heard == Heard::kEnded) {
-    // The called side never hangs up first here: whatever ended it, cut it. Cut calls do not count as served.
+  if (event == CallerEvent::kEnded) {
+    // The called party never hangs up first in this emulator, so an established call that ends here was terminated by a
+    // fault. Terminated calls do not count as served.
     if (caller.answered) {
       ++outcome.cut;
-      TellTry(caller, caller.in_time ? "cut" : "cut-late", 0);
+      RecordAttempt(caller, caller.in_time ? "cut" : "cut-late", 0);
       --(caller.in_time ? outcome.in_time : outcome.late);
     }
     gateways_.at(exchange)->HangUp(line);
-    return Leave(id);
+    return RemoveCaller(id);
   }
-  ++(heard == Heard::kRefused ? outcome.refused : outcome.failed);
-  TellTry(caller, heard == Heard::kRefused ? "refused" : "failed", pause_us);
-  After(kListen, [this, id, turn, pause_us] {
+  ++(event == CallerEvent::kRefused ? outcome.refused : outcome.failed);
+  RecordAttempt(caller, event == CallerEvent::kRefused ? "refused" : "failed", retry_after_us);
+  Schedule(kToneListenTime, [this, id, generation, retry_after_us] {
     const auto found = callers_.find(id);
-    if (found == callers_.end() || found->second.turn != turn) return;
+    if (found == callers_.end() || found->second.generation != generation) return;
     gateways_.at(found->second.from)->HangUp(found->second.line);
-    Redial(id, pause_us);
+    ScheduleRedial(id, retry_after_us);
   });
 }
 
-void Day::Redial(CallerId id, TimeUs pause_us) {
+void Day::ScheduleRedial(CallerId id, TimeUs retry_after_us) {
   Caller& caller = callers_.at(id);
-  at_line_.erase({caller.from, caller.line});
+  caller_by_line_.erase({caller.from, caller.line});
   free_lines_[static_cast<std::size_t>(caller.from)].insert(caller.line);
   caller.line = 0;
-  ++caller.turn;
+  ++caller.generation;
   const TrafficClass& c = scenario_.classes[static_cast<std::size_t>(caller.call_class)];
-  const auto [least, most] = scenario_.redial_us;
-  TimeUs own = least + static_cast<TimeUs>(Unit() * static_cast<double>(most - least));
-  if (scenario_.redial_doubles) own <<= std::min(caller.tries - 1, 8);
-  if (caller.patience_of_aim > 0.0) own = kListen, pause_us = 0;  // dials again at once and heeds nothing
-  if (pause_us > 0 && scenario_.heeds_pause < 1.0 && Unit() >= scenario_.heeds_pause) pause_us = 0;
-  const TimeUs wait = std::max(pause_us, own);
-  const bool over = caller.tries > caller.most_redials || runtime_->Now() + wait > caller.first_try + c.give_up_us;
-  if (over || runtime_->Now() + wait > ends_ + scenario_.settle_us / 2) return Leave(id);
-  After(wait, [this, id] {
-    if (callers_.count(id) > 0) Try(id);
+  const auto [min_wait, max_wait] = scenario_.redial_us;
+  TimeUs own_wait = min_wait + static_cast<TimeUs>(UniformRandom() * static_cast<double>(max_wait - min_wait));
+  if (scenario_.redial_doubles) own_wait <<= std::min(caller.attempts - 1, 8);
+  if (caller.timeout_per_target > 0.0)
+    own_wait = kToneListenTime, retry_after_us = 0;  // redials after a short pause and ignores retry-after
+  if (retry_after_us > 0 && scenario_.heeds_pause < 1.0 && UniformRandom() >= scenario_.heeds_pause) retry_after_us = 0;
+  const TimeUs wait = std::max(retry_after_us, own_wait);
+  const bool gives_up =
+      caller.attempts > caller.max_redials || runtime_->Now() + wait > caller.first_attempt_at + c.give_up_us;
+  if (gives_up || runtime_->Now() + wait > end_time_ + scenario_.settle_us / 2) return RemoveCaller(id);
+  Schedule(wait, [this, id] {
+    if (callers_.count(id) > 0) StartAttempt(id);
   });
 }
 
-void Day::Leave(CallerId id) {
+void Day::RemoveCaller(CallerId id) {
   const auto found = callers_.find(id);
   if (found == callers_.end()) return;
   if (found->second.line != 0) {
-    at_line_.erase({found->second.from, found->second.line});
+    caller_by_line_.erase({found->second.from, found->second.line});
     free_lines_[static_cast<std::size_t>(found->second.from)].insert(found->second.line);
   }
   callers_.erase(found);
 }
 
-// ---- troubles ----
+// ---- Faults ----
 
 void Day::PublishState(int number, const std::string& status) {
   if (status == "ready") {
-    out_.erase(number);
+    out_of_service_.erase(number);
   } else {
-    out_.insert(number);
+    out_of_service_.insert(number);
   }
   const ExchangeState& exchange = network_.At(number);
-  roster_.Change({ids_[number], number, exchange.zone, status, exchange.incarnation, exchange.started_us});
+  roster_.PublishDelayed(
+      {roster_ids_[number], number, exchange.zone, status, exchange.incarnation, exchange.started_us});
 }
 
-void Day::SetSlow(const Fault& fault, double slow) {
+void Day::SetSlowdown(const Fault& fault, double slow) {
   for (const int number : fault.exchanges) network_.At(number).slow = slow;
 }
 
-void Day::Storm(const Fault& fault, TimeUs until) {
+void Day::RunRestartStorm(const Fault& fault, TimeUs until) {
   if (runtime_->Now() >= until) return;
   for (const int number : fault.exchanges) {
     const auto gateway = gateways_.find(number);
     if (gateway != gateways_.end()) gateway->second->Restart(fault.method, fault.endpoints);
   }
-  const TimeUs gap = fault.size > 0.0 ? static_cast<TimeUs>(fault.size * 1000.0) : 20'000;
-  After(gap, [this, fault, until] { Storm(fault, until); });
+  const TimeUs interval = fault.size > 0.0 ? static_cast<TimeUs>(fault.size * 1000.0) : 20'000;
+  Schedule(interval, [this, fault, until] { RunRestartStorm(fault, until); });
 }
 
-void Day::Pause(const Fault& fault, TimeUs until) {
+void Day::RunPauses(const Fault& fault, TimeUs until) {
   if (runtime_->Now() >= until) return;
   for (const int number : fault.exchanges)
     network_.At(number).pause_until = runtime_->Now() + static_cast<TimeUs>(fault.size * 1000.0);
-  const TimeUs gap = fault.every_us > 0 ? fault.every_us : 1'500'000;
-  After(gap, [this, fault, until] { Pause(fault, until); });
+  const TimeUs interval = fault.every_us > 0 ? fault.every_us : 1'500'000;
+  Schedule(interval, [this, fault, until] { RunPauses(fault, until); });
 }
 
-void Day::StallEdges(const Fault& fault, TimeUs until) {
+void Day::RunEdgeStalls(const Fault& fault, TimeUs until) {
   if (runtime_->Now() >= until) return;
   for (const int number : fault.exchanges) {
-    if (number >= scenario_.edges || !stalled_.insert(number).second) continue;
+    if (number >= scenario_.edges || !stalled_edges_.insert(number).second) continue;
     trace_->Fact("edge-stalled", {{"exchange", number}});
     edges_->Stall(number, true);
   }
   const auto stall = static_cast<TimeUs>(fault.size * 1000.0);
-  After(stall, [this, fault] {
+  Schedule(stall, [this, fault] {
     for (const int number : fault.exchanges) {
-      if (stalled_.erase(number) == 0) continue;
+      if (stalled_edges_.erase(number) == 0) continue;
       edges_->Stall(number, false);
       trace_->Fact("edge-goes-on", {{"exchange", number}});
     }
   });
-  After(stall + std::max<TimeUs>(fault.every_us, 1000), [this, fault, until] { StallEdges(fault, until); });
+  Schedule(stall + std::max<TimeUs>(fault.every_us, 1000), [this, fault, until] { RunEdgeStalls(fault, until); });
 }
 
-// Slower and slower, then one crash, then back cold.
-void Day::Age(const Fault& fault, TimeUs began) {
-  const TimeUs now = runtime_->Now(), ends = began + fault.for_us;
-  if (now < ends) {
-    const double along = static_cast<double>(now - began) / static_cast<double>(std::max<TimeUs>(1, fault.for_us));
-    SetSlow(fault, 1.0 + (std::max(1.0, fault.size) - 1.0) * along);
-    After(std::min<TimeUs>(500'000, ends - now), [this, fault, began] { Age(fault, began); });
+// Gradual slowdown, then a crash, then a cold start.
+void Day::RunAgeing(const Fault& fault, TimeUs began) {
+  const TimeUs now = runtime_->Now(), end = began + fault.for_us;
+  if (now < end) {
+    const double fraction = static_cast<double>(now - began) / static_cast<double>(std::max<TimeUs>(1, fault.for_us));
+    SetSlowdown(fault, 1.0 + (std::max(1.0, fault.size) - 1.0) * fraction);
+    Schedule(std::min<TimeUs>(500'000, end - now), [this, fault, began] { RunAgeing(fault, began); });
     return;
   }
-  SetSlow(fault, 1.0);
+  SetSlowdown(fault, 1.0);
   for (const int number : fault.exchanges) {
     network_.Kill(number);
     PublishState(number, "gone");
-    After(std::max<TimeUs>(1000, fault.down_us), [this, number] {
+    Schedule(std::max<TimeUs>(1000, fault.down_us), [this, number] {
       network_.Start(number);
       if (network_.At(number).alive) PublishState(number, "ready");
     });
   }
 }
 
-void Day::Replace(int number, TimeUs drain_us) {
+void Day::ReplaceExchange(int number, TimeUs drain_us) {
   PublishState(number, "draining");
-  After(drain_us, [this, number] {
+  Schedule(drain_us, [this, number] {
     network_.Kill(number);
     PublishState(number, "gone");
-    After(300'000, [this, number] {
-      ++ids_[number];
+    Schedule(300'000, [this, number] {
+      ++roster_ids_[number];
       network_.Start(number);
       PublishState(number, "ready");
     });
   });
 }
 
-void Day::Inflict(const Fault& fault) {
+void Day::StartFault(const Fault& fault) {
   trace_->Fact("fault", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
   const TimeUs until = runtime_->Now() + (fault.for_us > 0 ? fault.for_us : scenario_.length_us);
   if (fault.kind == "crash" || fault.kind == "unit-restart") {
@@ -488,68 +504,68 @@
   } else if (fault.kind == "hang") {
     for (const int number : fault.exchanges) network_.At(number).hung = true;
   } else if (fault.kind == "slow") {
-    SetSlow(fault, std::max(1.0, fault.size));
+    SetSlowdown(fault, std::max(1.0, fault.size));
   } else if (fault.kind == "pause") {
-    Pause(fault, until);
+    RunPauses(fault, until);
   } else if (fault.kind == "edge-stall") {
-    return StallEdges(fault, until);
+    return RunEdgeStalls(fault, until);
   } else if (fault.kind == "ageing") {
-    return Age(fault, runtime_->Now());
+    return RunAgeing(fault, runtime_->Now());
   } else if (fault.kind == "retry-abuse") {
-    abusers_ = fault.share;
-    abuse_patience_ = fault.patience > 0.0 ? fault.patience : 0.5;
-    abuse_redials_ = std::max(1, static_cast<int>(fault.size));
+    abuser_share_ = fault.share;
+    abuser_timeout_per_target_ = fault.patience > 0.0 ? fault.patience : 0.5;
+    abuser_max_redials_ = std::max(1, static_cast<int>(fault.size));
   } else if (fault.kind == "drain") {
     for (const int number : fault.exchanges) PublishState(number, "draining");
   } else if (fault.kind == "replace") {
-    // One after the other, so that each is back before the next goes; of size 1, all at once.
+    // One after the other, so that each is back before the next one is drained. With size 1, all at once.
     TimeUs at = 0;
     for (const int number : fault.exchanges) {
-      After(at, [this, number] { Replace(number, 2'000'000); });
+      Schedule(at, [this, number] { ReplaceExchange(number, 2'000'000); });
       if (fault.size != 1.0)
         at += std::max<TimeUs>(2'500'000, fault.for_us / std::max<std::size_t>(1, fault.exchanges.size()));
     }
     return;
   } else if (fault.kind == "roster-late") {
-    roster_.SetLag(scenario_.roster_lag_us + static_cast<TimeUs>(fault.size * 1000.0));
+    roster_.SetPublicationDelay(scenario_.roster_lag_us + static_cast<TimeUs>(fault.size * 1000.0));
   } else if (fault.kind == "circuits-lost") {
-    network_.CutCircuits(fault.zone, fault.exchanges, fault.size);
+    network_.FailCircuits(fault.zone, fault.exchanges, fault.size);
   } else if (fault.kind == "hot-caller") {
     for (const int number : fault.exchanges) {
-      if (number < scenario_.edges) hot_.insert(number);
+      if (number < scenario_.edges) hot_edges_.insert(number);
     }
     hot_share_ = fault.size;
   } else if (fault.kind == "crowded-number") {
     crowded_exchange_ = fault.exchanges.empty() ? scenario_.exchanges - 1 : fault.exchanges.front();
-    crowded_ = NumberOf(0, 0, crowded_exchange_, 9999 % std::max(1, scenario_.lines));
+    crowded_number_ = LineNumber(0, 0, crowded_exchange_, 9999 % std::max(1, scenario_.lines));
     crowded_share_ = fault.size;
-    if (const auto stand_in = stand_ins_.find(crowded_exchange_); stand_in != stand_ins_.end())
-      stand_in->second->Crowd(crowded_, fault.lines);
+    if (const auto found = emulated_exchanges_.find(crowded_exchange_); found != emulated_exchanges_.end())
+      found->second->LimitLines(crowded_number_, fault.lines);
   } else if (fault.kind == "edge-kill") {
     for (const int number : fault.exchanges) {
       trace_->Fact("edge-killed", {{"exchange", number}});
       edges_->Kill(number);
     }
   } else if (fault.kind == "path") {
-    path_.SetFaults({fault.loss, fault.doubled, fault.late, fault.late_us});
+    path_.SetImpairments({fault.loss, fault.doubled, fault.late, fault.late_us});
   } else if (fault.kind == "restart-storm") {
-    Storm(fault, until);
+    RunRestartStorm(fault, until);
   } else {
     for (const int number : fault.exchanges) {
       const auto gateway = gateways_.find(number);
       if (gateway == gateways_.end()) continue;
       if (fault.kind == "gateway-silent") gateway->second->faults().silent_after_ack = true;
       if (fault.kind == "gateway-late")
-        gateway->second->faults().notify_late_us = static_cast<TimeUs>(fault.size * 1000.0);
+        gateway->second->faults().answer_notify_delay_us = static_cast<TimeUs>(fault.size * 1000.0);
       if (fault.kind == "gateway-error") gateway->second->faults().error_code = static_cast<int>(fault.size);
-      if (fault.kind == "gateway-deaf") gateway->second->faults().deaf = true;
+      if (fault.kind == "gateway-deaf") gateway->second->faults().unreachable = true;
       if (fault.kind == "gateway-restart") gateway->second->Restart(fault.method, fault.endpoints);
     }
   }
-  if (fault.for_us > 0) After(fault.for_us, [this, fault] { Relieve(fault); });
+  if (fault.for_us > 0) Schedule(fault.for_us, [this, fault] { EndFault(fault); });
 }
 
-void Day::Relieve(const Fault& fault) {
+void Day::EndFault(const Fault& fault) {
   trace_->Fact("relief", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
   if (fault.kind == "crash" || fault.kind == "unit-restart") {
     for (const int number : fault.exchanges) {
@@ -559,29 +575,29 @@
   } else if (fault.kind == "hang") {
     for (const int number : fault.exchanges) network_.At(number).hung = false;
   } else if (fault.kind == "slow") {
-    SetSlow(fault, 1.0);
+    SetSlowdown(fault, 1.0);
   } else if (fault.kind == "drain") {
     for (const int number : fault.exchanges) PublishState(number, "ready");
   } else if (fault.kind == "roster-late") {
-    roster_.SetLag(scenario_.roster_lag_us);
+    roster_.SetPublicationDelay(scenario_.roster_lag_us);
   } else if (fault.kind == "circuits-lost") {
     network_.RestoreCircuits();
   } else if (fault.kind == "retry-abuse") {
-    abusers_ = 0.0;
+    abuser_share_ = 0.0;
   } else if (fault.kind == "hot-caller") {
-    hot_.clear();
+    hot_edges_.clear();
   } else if (fault.kind == "crowded-number") {
-    crowded_.clear();
+    crowded_number_.clear();
   } else if (fault.kind == "edge-kill") {
     for (const int number : fault.exchanges) StartEdge(number);
   } else if (fault.kind == "path") {
-    path_.SetFaults({});
+    path_.SetImpairments({});
   } else {
     for (const int number : fault.exchanges) {
       const auto gateway = gateways_.find(number);
       if (gateway == gateways_.end()) continue;
       gateway->second->faults() = {};
-      // A gateway that was cut off says so when it is back (RFC 3435 4.4.7).
+      // A gateway that was disconnected reports it when it is reachable again (RFC 3435 4.4.7).
       if (fault.kind == "gateway-deaf") gateway->second->Restart("disconnected", "*");
     }
   }
--- a/src/lab/day_accounts.cpp
+++ b/src/lab/day_accounts.cpp
@@ -13,31 +13,31 @@
 using nlohmann::json;
 using reach::SetUpEnd;
 
-// The bound's intervals, and how finely the timeline of faults is walked.
-constexpr TimeUs kInterval = 4'000'000, kStep = 50'000;
-constexpr std::size_t kMostBins = 100'000;
+// The interval of the bound, and the step at which the faults are sampled.
+constexpr TimeUs kBoundInterval = 4'000'000, kSampleStep = 50'000;
+constexpr std::size_t kMaxBins = 100'000;
 
-const mgcp::EventRef* Find(const std::vector<mgcp::EventRef>& events, std::string_view name) {
+const mgcp::EventRef* FindEvent(const std::vector<mgcp::EventRef>& events, std::string_view name) {
   const auto found =
       std::find_if(events.begin(), events.end(), [&](const auto& e) { return mgcp::EqualsIgnoringCase(e.name, name); });
   return found == events.end() ? nullptr : &*found;
 }
 
-std::vector<mgcp::EventRef> Events(const mgcp::Message& message, std::string_view line) {
+std::vector<mgcp::EventRef> ParseEvents(const mgcp::Message& message, std::string_view line) {
   return mgcp::ParseEventList(message.Get(line)).value_or(std::vector<mgcp::EventRef>{});
 }
 
-bool Hits(const Fault& fault, int exchange) {
+bool Affects(const Fault& fault, int exchange) {
   return std::find(fault.exchanges.begin(), fault.exchanges.end(), exchange) != fault.exchanges.end();
 }
 
-// What an exchange's processor can do at a moment, as a share of its usual capacity: the scenario's timeline
+// The capacity of an exchange's processor at a moment as a share of its normal capacity, from the scenario's faults
 // alone.
-double Capacity(const Scenario& s, int exchange, TimeUs at) {
+double ProcessorShare(const Scenario& s, int exchange, TimeUs at) {
   double share = 1.0;
   TimeUs started = 0;
   for (const Fault& f : s.faults) {
-    if (at < f.at_us || !Hits(f, exchange)) continue;
+    if (at < f.at_us || !Affects(f, exchange)) continue;
     const TimeUs end = f.for_us > 0 ? f.at_us + f.for_us : s.length_us + s.settle_us;
     const bool during = at < end;
     if (f.kind == "crash" || f.kind == "unit-restart") {
@@ -54,7 +54,8 @@
       if (!during && at < end + f.down_us) return 0.0;
       if (!during) started = std::max(started, end + f.down_us);
     } else if (f.kind == "replace") {
-      // Two seconds of draining, then 300 ms without; one after the other unless all at once.
+      // Each exchange drains for 2 s and is down for 300 ms; one after the other, or with size 1 all at once. This
+      // repeats the times of Day.
       const auto index =
           static_cast<TimeUs>(std::find(f.exchanges.begin(), f.exchanges.end(), exchange) - f.exchanges.begin());
       const TimeUs gap =
@@ -63,23 +64,24 @@
       if (at >= down && at < down + 300'000) return 0.0;
       if (at >= down + 300'000) started = std::max(started, down + 300'000);
     } else if ((f.kind == "pause" || f.kind == "edge-stall") && during) {
-      const TimeUs every = f.every_us > 0 ? f.every_us : 1'500'000, still = static_cast<TimeUs>(f.size * 1000.0);
-      const TimeUs cycle = f.kind == "pause" ? every : every + still;
-      if ((at - f.at_us) % std::max<TimeUs>(1, cycle) < still) return 0.0;
+      const TimeUs every = f.every_us > 0 ? f.every_us : 1'500'000, pause_us = static_cast<TimeUs>(f.size * 1000.0);
+      const TimeUs cycle = f.kind == "pause" ? every : every + pause_us;
+      if ((at - f.at_us) % std::max<TimeUs>(1, cycle) < pause_us) return 0.0;
     }
   }
   if (started == 0) return share;
-  const double grown = static_cast<double>(at - started) / static_cast<double>(s.processor.warm_up_us);
-  return share * (grown >= 1.0 ? 1.0 : s.processor.cold_from + (1.0 - s.processor.cold_from) * grown);
+  const double warm_up_progress = static_cast<double>(at - started) / static_cast<double>(s.processor.warm_up_us);
+  return share *
+         (warm_up_progress >= 1.0 ? 1.0 : s.processor.cold_from + (1.0 - s.processor.cold_from) * warm_up_progress);
 }
 
-double Circuits(const Scenario& s, int a, int b, TimeUs at) {
+double CircuitsInService(const Scenario& s, int a, int b, TimeUs at) {
   double circuits = s.CircuitsBetween(a, b);
   for (const Fault& f : s.faults) {
     if (f.kind != "circuits-lost" || at < f.at_us || (f.for_us > 0 && at >= f.at_us + f.for_us)) continue;
-    const bool hit =
-        f.exchanges.empty() ? (s.ZoneOf(a) == f.zone) != (s.ZoneOf(b) == f.zone) : Hits(f, a) && Hits(f, b);
-    if (hit) circuits = std::ceil(circuits * f.size);
+    const bool affected =
+        f.exchanges.empty() ? (s.ZoneOf(a) == f.zone) != (s.ZoneOf(b) == f.zone) : Affects(f, a) && Affects(f, b);
+    if (affected) circuits = std::ceil(circuits * f.size);
   }
   return circuits;
 }
@@ -92,21 +94,21 @@
     gateway_hosts_[GatewayAddress(scenario_, i).host] = i;
     edges_[i].number = i;
   }
-  pressed_us_ = 1e18;
+  max_queue_delay_us_ = 1e18;
   for (const TrafficClass& c : scenario_.classes)
-    pressed_us_ = std::min(pressed_us_, static_cast<double>(c.aim_us) / 4.0);
+    max_queue_delay_us_ = std::min(max_queue_delay_us_, static_cast<double>(c.aim_us) / 4.0);
 }
 
-DayAccounts::Bin* DayAccounts::BinAt(TimeUs at) {
-  if (began_ == 0 || at < began_) return nullptr;
-  const auto bin = static_cast<std::size_t>((at - began_) / kBin);
-  if (bin >= kMostBins) return nullptr;
+DayAccounts::Bin* DayAccounts::FindBin(TimeUs at) {
+  if (start_time_ == 0 || at < start_time_) return nullptr;
+  const auto bin = static_cast<std::size_t>((at - start_time_) / kBin);
+  if (bin >= kMaxBins) return nullptr;
   if (bin >= bins_.size()) bins_.resize(bin + 1);
   return &bins_[bin];
 }
 
 void DayAccounts::Take(const TraceRecord& record) {
-  if (first_ == 0) first_ = record.at_us;
+  if (first_record_at_ == 0) first_record_at_ = record.at_us;
   now_ = record.at_us;
   if (!record.fact.empty()) return OnFact(record);
   const auto from_edge = edge_hosts_.find(record.from.host);
@@ -126,80 +128,83 @@
   if (!message.is_command) return;
   const std::string circuit(message.endpoint.local);
   if (circuit.rfind(wire_names::kCircuits, 0) != 0) return;
-  if (message.verb == Verb::kDlcx) return End(edge, circuit, SetUpEnd::kGivenUp, 0);
+  if (message.verb == Verb::kDlcx) return RecordSetUpResult(edge, circuit, SetUpEnd::kGivenUp, 0);
   if (message.verb != Verb::kCrcx) return;
-  const auto events = Events(message, "S");
-  const auto* sup = Find(events, "sup");
+  const auto events = ParseEvents(message, "S");
+  const auto* sup = FindEvent(events, "sup");
   const auto name = wire_names::ParseCircuit(circuit);
   if (sup == nullptr || !name) return;
   const int origin = wire_names::Number<int>(message.Get(wire_names::kOrigin)).value_or(-1);
   const std::string id(mgcp::Argument(sup->parameters, "id"));
   const std::string caller = origin == edge.number ? id : std::to_string(origin) + " " + id;
-  // A repeat of the same command is no second set-up.
-  const auto before = edge.by_caller.find(caller);
-  if (edge.asked.count(message.transaction) > 0 ||
-      (before != edge.by_caller.end() && before->second.circuit == circuit && before->second.end == SetUpEnd::kOut))
+  // A retransmission of the same command is not another set-up.
+  const auto before = edge.set_up_by_caller.find(caller);
+  if (edge.unanswered_commands.count(message.transaction) > 0 ||
+      (before != edge.set_up_by_caller.end() && before->second.circuit == circuit &&
+       before->second.end == SetUpEnd::kOut))
     return;
-  edge.asked[message.transaction] = circuit;
-  edge.by_caller[caller] = {name->group, circuit, at};
-  edge.on_circuit[circuit] = caller;
-  ledger_.OnSetUp(at - first_, edge.number, name->group, ExchangeOf(mgcp::Argument(sup->parameters, "addr")));
+  edge.unanswered_commands[message.transaction] = circuit;
+  edge.set_up_by_caller[caller] = {name->group, circuit, at};
+  edge.caller_by_circuit[circuit] = caller;
+  ledger_.OnSetUp(at - first_record_at_, edge.number, name->group, ExchangeOf(mgcp::Argument(sup->parameters, "addr")));
 }
 
 void DayAccounts::OnGateway(Edge& edge, TimeUs at, const mgcp::Message& message) {
   if (!message.is_command) {
-    const auto asked = edge.asked.find(message.transaction);
-    if (asked == edge.asked.end() || message.code < 200) return;
-    const std::string circuit = asked->second;
-    edge.asked.erase(asked);
+    const auto command = edge.unanswered_commands.find(message.transaction);
+    if (command == edge.unanswered_commands.end() || message.code < 200) return;
+    const std::string circuit = command->second;
+    edge.unanswered_commands.erase(command);
     if (message.code < 400) return;
     const bool down = message.code == mgcp::kNoResourcesNow;
-    if (!down && edge.on_circuit.count(circuit) > 0) ledger_.OnCircuitRefused(at - first_, edge.number, circuit);
-    return End(edge, circuit, down ? SetUpEnd::kOwnDown : SetUpEnd::kOwnRefused, 0);
+    if (!down && edge.caller_by_circuit.count(circuit) > 0)
+      ledger_.OnCircuitRefused(at - first_record_at_, edge.number, circuit);
+    return RecordSetUpResult(edge, circuit, down ? SetUpEnd::kOwnDown : SetUpEnd::kOwnRefused, 0);
   }
   const std::string circuit(message.endpoint.local);
   if (message.verb != Verb::kNtfy || circuit.rfind(wire_names::kCircuits, 0) != 0) return;
-  const auto events = Events(message, "O");
-  if (Find(events, "sup") != nullptr) ledger_.OnCircuitUsed(edge.number, circuit);
-  if (Find(events, "ans") != nullptr) {
+  const auto events = ParseEvents(message, "O");
+  if (FindEvent(events, "sup") != nullptr) ledger_.OnCircuitUsed(edge.number, circuit);
+  if (FindEvent(events, "ans") != nullptr) {
     ledger_.OnCircuitUsed(edge.number, circuit);
-    End(edge, circuit, SetUpEnd::kAnswered, 0);
+    RecordSetUpResult(edge, circuit, SetUpEnd::kAnswered, 0);
   }
-  if (const auto* rel = Find(events, "rel")) {
+  if (const auto* rel = FindEvent(events, "rel")) {
     const int cause = wire_names::Number<int>(rel->parameters).value_or(41);
-    if (edge.on_circuit.count(circuit) > 0) {
+    if (edge.caller_by_circuit.count(circuit) > 0) {
       if (cause == 44 || cause == 47) {
-        ledger_.OnCircuitRefused(at - first_, edge.number, circuit);
+        ledger_.OnCircuitRefused(at - first_record_at_, edge.number, circuit);
       } else {
         ledger_.OnCircuitUsed(edge.number, circuit);
       }
     }
-    End(edge, circuit, SetUpEnd::kReleased, cause);
+    RecordSetUpResult(edge, circuit, SetUpEnd::kReleased, cause);
   }
 }
 
-void DayAccounts::Judge(SetUp* set_up) const {
-  const auto cold = cold_until_.find(set_up->to);
-  set_up->cold = cold != cold_until_.end() && now_ < cold->second;
-  set_up->dead = dead_.count(set_up->to) + hung_.count(set_up->to) > 0;
+void DayAccounts::RecordDestinationState(SetUp* set_up) const {
+  const auto warming_up = warming_up_until_.find(set_up->to);
+  set_up->warming_up = warming_up != warming_up_until_.end() && now_ < warming_up->second;
+  set_up->down = down_.count(set_up->to) + hung_.count(set_up->to) > 0;
   const auto to = static_cast<std::size_t>(set_up->to);
-  const bool waits = to < waits_ms_.size() && waits_ms_[to] * 1000.0 > pressed_us_;
+  const bool waits = to < waits_ms_.size() && waits_ms_[to] * 1000.0 > max_queue_delay_us_;
   set_up->slow = slow_.count(set_up->to) > 0 || waits;
 }
 
-void DayAccounts::End(Edge& edge, const std::string& circuit, SetUpEnd end, int cause) {
-  const auto caller = edge.on_circuit.find(circuit);
-  if (caller == edge.on_circuit.end()) return;
-  const auto set_up = edge.by_caller.find(caller->second);
-  edge.on_circuit.erase(caller);
-  if (set_up == edge.by_caller.end() || set_up->second.circuit != circuit || set_up->second.end != SetUpEnd::kOut)
+void DayAccounts::RecordSetUpResult(Edge& edge, const std::string& circuit, SetUpEnd end, int cause) {
+  const auto caller = edge.caller_by_circuit.find(circuit);
+  if (caller == edge.caller_by_circuit.end()) return;
+  const auto set_up = edge.set_up_by_caller.find(caller->second);
+  edge.caller_by_circuit.erase(caller);
+  if (set_up == edge.set_up_by_caller.end() || set_up->second.circuit != circuit ||
+      set_up->second.end != SetUpEnd::kOut)
     return;
   set_up->second.end = end;
   set_up->second.cause = cause;
-  Judge(&set_up->second);
+  RecordDestinationState(&set_up->second);
 }
 
-void DayAccounts::OnTry(const TraceRecord& record) {
+void DayAccounts::OnAttempt(const TraceRecord& record) {
   const json& f = record.figures;
   reach::TryEnd t;
   const std::string how = f.at("how").get<std::string>();
@@ -207,31 +212,32 @@
   t.from = f.at("exchange").get<int>();
   t.to = f.at("to").get<int>();
   const std::string name = f.at("class").get<std::string>();
-  const auto of_class =
+  const auto traffic_class =
       std::find_if(scenario_.classes.begin(), scenario_.classes.end(), [&](const auto& c) { return c.name == name; });
-  if (of_class == scenario_.classes.end()) return;
-  t.call_class = static_cast<int>(of_class - scenario_.classes.begin());
+  if (traffic_class == scenario_.classes.end()) return;
+  t.call_class = static_cast<int>(traffic_class - scenario_.classes.begin());
   t.direct = f.at("direct").get<bool>();
   t.tandems = f.at("tandems").get<int>();
   t.healthy = f.at("healthy").get<bool>() && !f.at("crowded").get<bool>();
-  // Four fifths of it: what is left must do for the set-up.
-  t.late = f.at("began_us").get<TimeUs>() - f.at("first_us").get<TimeUs>() > of_class->aim_us * 4 / 5;
+  // Late after four fifths of the target delay: the remaining fifth is needed for the set-up.
+  t.late = f.at("began_us").get<TimeUs>() - f.at("first_us").get<TimeUs>() > traffic_class->aim_us * 4 / 5;
   Edge& edge = edges_[t.from];
   const auto began = f.at("began_us").get<TimeUs>();
-  t.own_edge_down = !edge.up || edge.last_down >= began || dead_.count(t.from) > 0;
-  const auto caller = edge.by_caller.find(std::string(wire_names::kLines) + std::to_string(f.at("line").get<int>()));
-  if (caller != edge.by_caller.end() && caller->second.at >= began) {
+  t.own_edge_down = !edge.up || edge.last_outage_end >= began || down_.count(t.from) > 0;
+  const auto caller =
+      edge.set_up_by_caller.find(std::string(wire_names::kLines) + std::to_string(f.at("line").get<int>()));
+  if (caller != edge.set_up_by_caller.end() && caller->second.at >= began) {
     SetUp& set_up = caller->second;
-    if (set_up.end == SetUpEnd::kOut) Judge(&set_up);
+    if (set_up.end == SetUpEnd::kOut) RecordDestinationState(&set_up);
     t.sent = true;
     t.end = set_up.end;
     t.cause = set_up.cause;
-    t.cold = set_up.cold;
-    t.dead = set_up.dead;
+    t.cold = set_up.warming_up;
+    t.dead = set_up.down;
     t.slow = set_up.slow;
   }
-  ledger_.OnTry(record.at_us - first_, t);
-  if (Bin* bin = BinAt(record.at_us); bin != nullptr && how != "cut" && how != "cut-late") {
+  ledger_.OnTry(record.at_us - first_record_at_, t);
+  if (Bin* bin = FindBin(record.at_us); bin != nullptr && how != "cut" && how != "cut-late") {
     ++bin->tries;
     bin->stood += how == "stands" || how == "stands-late" ? 1 : 0;
     bin->refused += how == "refused" ? 1 : 0;
@@ -242,35 +248,36 @@
 void DayAccounts::OnFact(const TraceRecord& record) {
   const json& f = record.figures;
   const int exchange = f.value("exchange", -1);
-  if (record.fact == "try") return OnTry(record);
+  if (record.fact == "try") return OnAttempt(record);
   if (record.fact == "day-begins") {
-    began_ = record.at_us;
+    start_time_ = record.at_us;
   } else if (record.fact == "offered") {
-    if (began_ == 0) return;
-    const std::uint64_t bin = (record.at_us - began_) / kBin;
+    if (start_time_ == 0) return;
+    const std::uint64_t bin = (record.at_us - start_time_) / kBin;
     offered_[{f.at("from").get<int>(), f.at("to").get<int>(), f.at("class").get<int>(), f.at("crowded").get<bool>(),
               bin}] += 1.0;
-    if (Bin* at = BinAt(record.at_us)) ++at->offered;
+    if (Bin* at = FindBin(record.at_us)) ++at->offered;
   } else if (record.fact == "sample") {
-    Bin* bin = BinAt(record.at_us);
+    Bin* bin = FindBin(record.at_us);
     if (bin == nullptr) return;
     for (const json& g : f.at("groups"))
       bin->groups[{g[0].get<int>(), g[1].get<int>()}] = {g[2].get<unsigned>(), g[3].get<unsigned>()};
     waits_ms_ = bin->waits_ms = f.at("waits_ms").get<std::vector<double>>();
   } else if (record.fact == "down") {
-    dead_.insert(exchange);
+    down_.insert(exchange);
   } else if (record.fact == "cold-start") {
-    dead_.erase(exchange);
+    down_.erase(exchange);
     hung_.erase(exchange);
-    cold_until_[exchange] = record.at_us + f.at("warm_up_ms").get<TimeUs>() * 1000;
+    warming_up_until_[exchange] = record.at_us + f.at("warm_up_ms").get<TimeUs>() * 1000;
   } else if (record.fact == "edge-killed" || record.fact == "edge-stalled") {
     edges_[exchange].up = false;
   } else if (record.fact == "edge-start" || record.fact == "edge-goes-on") {
     Edge& edge = edges_[exchange];
     edge.number = exchange;
-    if (!edge.up) edge.last_down = record.at_us;
+    if (!edge.up) edge.last_outage_end = record.at_us;
     edge.up = true;
-    if (record.fact == "edge-start") edge.by_caller.clear(), edge.on_circuit.clear(), edge.asked.clear();
+    if (record.fact == "edge-start")
+      edge.set_up_by_caller.clear(), edge.caller_by_circuit.clear(), edge.unanswered_commands.clear();
   } else if (record.fact == "fault" || record.fact == "relief") {
     const bool begins = record.fact == "fault";
     const std::string kind = f.value("kind", "");
@@ -321,14 +328,14 @@
     const auto& [from, to, call_class, crowded, at] = key;
     p.demands.push_back({from, to, call_class, at, calls, crowded});
   }
-  // The timeline, walked in small steps and summed by interval.
-  const std::size_t steps = static_cast<std::size_t>(interval_us / kStep);
+  // Capacities, sampled in small steps and summed by interval.
+  const std::size_t steps = static_cast<std::size_t>(interval_us / kSampleStep);
   for (int a = 0; a < s.exchanges; ++a) {
     const double speed = s.processor.speed_of.empty() ? 1.0 : s.processor.speed_of[static_cast<std::size_t>(a)];
     auto& row = p.processor.emplace_back(p.intervals, 0.0);
     for (std::size_t k = 0; k < p.intervals; ++k) {
       for (std::size_t i = 0; i < steps; ++i)
-        row[k] += speed * Capacity(s, a, k * interval_us + i * kStep) * static_cast<double>(kStep);
+        row[k] += speed * ProcessorShare(s, a, k * interval_us + i * kSampleStep) * static_cast<double>(kSampleStep);
     }
     for (int b = a + 1; b < s.exchanges; ++b) {
       if (s.CircuitsBetween(a, b) == 0) continue;
@@ -336,7 +343,8 @@
                          std::vector<double>(p.intervals, 0.0)};
       for (std::size_t k = 0; k < p.intervals; ++k) {
         for (std::size_t i = 0; i < steps; ++i)
-          group.circuits[k] += Circuits(s, a, b, k * interval_us + i * kStep) / static_cast<double>(steps);
+          group.circuits[k] +=
+              CircuitsInService(s, a, b, k * interval_us + i * kSampleStep) / static_cast<double>(steps);
       }
       p.groups.push_back(std::move(group));
     }
@@ -360,6 +368,6 @@
   return p;
 }
 
-reach::Bound DayAccounts::Bound() const { return reach::UpperBound(Problem(kInterval)); }
+reach::Bound DayAccounts::Bound() const { return reach::UpperBound(Problem(kBoundInterval)); }
 
 }  // namespace croftrun::lab
--- a/src/lab/day_accounts.h
+++ b/src/lab/day_accounts.h
@@ -1,8 +1,8 @@
-// The accounts of a day from its trace alone: where each try went, what was wasted, and the day as a problem
-// for the bound.
+// Per-class accounting of a scenario run, computed from its trace alone: the result of each call attempt, the wasted
+// resources, and the optimization problem whose solution bounds the worth that could have been served.
 //
-// It reads datagrams as the check of the rules does, and the facts that no datagram tells; of the product it
-// uses only the MGCP parser and the names on the wire.
+// Like the rule checker it reads the datagrams and the recorded facts that no datagram shows. Of the product it uses
+// only the MGCP parser and the names on the wire.
 #ifndef CROFTRUN_LAB_DAY_ACCOUNTS_H_
 #define CROFTRUN_LAB_DAY_ACCOUNTS_H_
 
@@ -19,23 +19,26 @@
 
 namespace croftrun::lab {
 
+// Consumes the records of a trace in order.
 class DayAccounts {
  public:
   explicit DayAccounts(const Scenario& scenario);
   void Take(const TraceRecord& record);
 
   const reach::Ledger& ledger() const { return ledger_; }
-  // The day as it was offered; `interval_us` as fine as wished.
+  // The offered traffic and the available capacity, in intervals of `interval_us`.
   reach::Problem Problem(TimeUs interval_us) const;
+  // The upper bound for the run, at the standard interval.
   reach::Bound Bound() const;
 
-  // For the picture: by bin of half a second from the day's begin.
+  // Figures for the charts, by bin of length kBin from the start of the traffic.
   struct Bin {
     std::uint64_t offered = 0, tries = 0, stood = 0, refused = 0, failed = 0;
-    std::map<std::pair<int, int>, std::pair<unsigned, unsigned>> groups;  // circuits in use, of how many
-    std::vector<double> waits_ms;                                         // -1: down
+    std::map<std::pair<int, int>, std::pair<unsigned, unsigned>> groups;  // circuits in use, and their total
+    std::vector<double> waits_ms;                                         // queueing delay by exchange; -1: down
   };
   static constexpr TimeUs kBin = 500'000;
+  // A fault and the time in which it was in force.
   struct Band {
     std::string what;
     double from_s = 0.0, to_s = 0.0;
@@ -44,39 +47,41 @@
   std::vector<Band> bands() const;
 
  private:
+  // A set-up sent by an edge. `end`, `cause` and the state of the exchange it was sent to are valid once it has ended.
   struct SetUp {
     int to = -1;
     std::string circuit;
     TimeUs at = 0;
     reach::SetUpEnd end = reach::SetUpEnd::kOut;
     int cause = 0;
-    bool cold = false, dead = false, slow = false;
+    bool warming_up = false, down = false, slow = false;
   };
   struct Edge {
     int number = -1;
     bool up = true;
-    TimeUs last_down = 0;                           // the last moment that it was not at work
-    std::map<std::string, SetUp> by_caller;         // the last set-up of each caller
-    std::map<std::string, std::string> on_circuit;  // whose set-up is out there
-    std::map<std::uint32_t, std::string> asked;     // CRCX not answered yet: its circuit
+    TimeUs last_outage_end = 0;
+    std::map<std::string, SetUp> set_up_by_caller;         // the last set-up of each caller
+    std::map<std::string, std::string> caller_by_circuit;  // caller whose set-up is pending on the circuit
+    // The circuit of each CRCX without a response, by transaction.
+    std::map<std::uint32_t, std::string> unanswered_commands;
   };
   void OnFact(const TraceRecord& record);
-  void OnTry(const TraceRecord& record);
+  void OnAttempt(const TraceRecord& record);
   void OnEdge(Edge& edge, TimeUs at, const mgcp::Message& message);
   void OnGateway(Edge& edge, TimeUs at, const mgcp::Message& message);
-  void End(Edge& edge, const std::string& circuit, reach::SetUpEnd end, int cause);
-  void Judge(SetUp* set_up) const;
-  Bin* BinAt(TimeUs at);
+  void RecordSetUpResult(Edge& edge, const std::string& circuit, reach::SetUpEnd end, int cause);
+  void RecordDestinationState(SetUp* set_up) const;
+  Bin* FindBin(TimeUs at);
 
   const Scenario scenario_;
   reach::Ledger ledger_;
   std::map<std::uint32_t, int> edge_hosts_, gateway_hosts_;
   std::map<int, Edge> edges_;
-  std::set<int> dead_, hung_, slow_;
-  std::map<int, TimeUs> cold_until_;
-  TimeUs now_ = 0, began_ = 0, first_ = 0;
-  std::vector<double> waits_ms_;  // of processors, as last seen
-  double pressed_us_ = 0.0;       // a wait past this keeps set-ups from being in time
+  std::set<int> down_, hung_, slow_;
+  std::map<int, TimeUs> warming_up_until_;
+  TimeUs now_ = 0, start_time_ = 0, first_record_at_ = 0;
+  std::vector<double> waits_ms_;     // by exchange, from the last sample
+  double max_queue_delay_us_ = 0.0;  // a queueing delay above this makes set-ups late
   std::map<std::tuple<int, int, int, bool, std::uint64_t>, double> offered_;  // from, to, class, crowded, bin
   std::vector<Bin> bins_;
   std::vector<Band> bands_;
--- a/src/lab/edge_processes.cpp
+++ b/src/lab/edge_processes.cpp
@@ -29,8 +29,8 @@
   char* const arguments[] = {program_.data(), const_cast<char*>(settings.c_str()), option.data(),
                              const_cast<char*>(metrics.c_str()), nullptr};
   pid_t process = 0;
-  // Nothing of the laboratory's is left open in it: a collector's port that an edge holds as well outlives the
-  // collector.
+  // The edge inherits no descriptors except the standard streams: a collector's port that is also open in an edge
+  // would stay bound after the collector has closed it.
   posix_spawn_file_actions_t actions;
   ::posix_spawn_file_actions_init(&actions);
   ::posix_spawn_file_actions_addclosefrom_np(&actions, 3);
@@ -52,9 +52,9 @@
   if (const auto found = processes_.find(number); found != processes_.end()) ::kill(found->second, SIGTERM);
 }
 
-void EdgeProcesses::Stall(int number, bool stands_still) {
+void EdgeProcesses::Stall(int number, bool stalled) {
   if (const auto found = processes_.find(number); found != processes_.end())
-    ::kill(found->second, stands_still ? SIGSTOP : SIGCONT);
+    ::kill(found->second, stalled ? SIGSTOP : SIGCONT);
 }
 
 pid_t EdgeProcesses::Process(int number) const {
--- a/src/lab/gateway.cpp
+++ b/src/lab/gateway.cpp
@@ -11,7 +11,7 @@
 using mgcp::Verb;
 using mgcp::Writer;
 
-// The signal of that name among those of an `S:` line.
+// Finds a signal by package and name in a parsed `S:` parameter; null if there is none.
 const mgcp::EventRef* FindEvent(const std::optional<std::vector<mgcp::EventRef>>& events, std::string_view package,
                                 std::string_view name) {
   if (!events) return nullptr;
@@ -23,55 +23,56 @@
 
 }  // namespace
 
-Gateway::Gateway(const GatewaySettings& settings, core::Runtime* runtime, Network* network, OnHeard on_heard)
+Gateway::Gateway(const GatewaySettings& settings, core::Runtime* runtime, Network* network,
+                 CallerEventHandler on_caller_event)
     : settings_(settings),
       runtime_(runtime),
       network_(network),
-      on_heard_(std::move(on_heard)),
+      on_caller_event_(std::move(on_caller_event)),
       lines_(static_cast<std::size_t>(settings.lines) + 1),
       transactions_(runtime, settings.address, settings.transactions,
                     [this](auto id, const auto&, const auto& message) { OnCommand(id, message); }) {
   network_->SetUser(settings_.number, this);
 }
 
-std::string Gateway::NewConnection() {
+std::string Gateway::NextConnectionId() {
   std::string hex(8, '0');
   std::uint32_t value = next_connection_++;
   for (std::size_t i = 8; i-- > 0; value >>= 4U) hex[i] = "0123456789ABCDEF"[value & 15U];
   return hex;
 }
 
-// ---- people ----
+// ---- Callers ----
 
-bool Gateway::LineIdle(int number) const {
+bool Gateway::IsLineIdle(int number) const {
   const Line& line = lines_[static_cast<std::size_t>(number)];
   return !line.in_use && !line.off_hook && !line.ringing && line.connection.empty();
 }
 
-bool Gateway::Dial(int number, const std::string& digits, TimeUs patience_us) {
+bool Gateway::Dial(int number, const std::string& digits, TimeUs caller_timeout_us) {
   Line& line = lines_[static_cast<std::size_t>(number)];
-  if (!LineIdle(number)) return false;
+  if (!IsLineIdle(number)) return false;
   line.in_use = true;
   line.off_hook = true;
-  line.to_dial = digits;
-  line.patience_us = patience_us;
-  line.use = next_use_++;
-  TryDial(number, line);
+  line.pending_digits = digits;
+  line.caller_timeout_us = caller_timeout_us;
+  line.generation = next_generation_++;
+  SendDialledDigits(number, line);
   return true;
 }
 
-void Gateway::TryDial(int number, Line& line) {
-  if (line.to_dial.empty() || !line.wants_off_hook || !line.digit_map) return;
-  // Digits are collected until the map is complete, or the person stops dialling.
-  const std::string digits = std::exchange(line.to_dial, {});
+void Gateway::SendDialledDigits(int number, Line& line) {
+  if (line.pending_digits.empty() || !line.off_hook_requested || !line.digit_map) return;
+  // Digits are collected until the map matches or the caller stops dialling; here all of them are dialled at once.
+  const std::string digits = std::exchange(line.pending_digits, {});
   if (line.digit_map->Check(digits, true) == mgcp::DigitMap::Match::kNo) return;
-  line.wants_off_hook = false;
-  network_->Look(settings_.number);
+  line.off_hook_requested = false;
+  network_->ProcessOfferedCall(settings_.number);
   std::string events = "L/hd";
   for (const char digit : digits) events += std::string(", D/") + digit;
-  std::string patience;
-  Writer(&patience).Line(wire_names::kPatience, std::to_string(line.patience_us / 1000));
-  NotifyLine(number, line, events, patience);
+  std::string parameters;
+  Writer(&parameters).Line(wire_names::kPatience, std::to_string(line.caller_timeout_us / 1000));
+  NotifyLine(number, line, events, parameters);
 }
 
 void Gateway::HangUp(int number) {
@@ -79,38 +80,39 @@
   if (!line.off_hook) return;
   line.off_hook = false;
   line.in_use = false;
-  line.to_dial.clear();
+  line.pending_digits.clear();
   NotifyLine(number, line, "L/hu");
 }
 
 void Gateway::Notify(std::string endpoint, std::string body) {
-  if (faults_.deaf) return;
-  auto& waiting = notifications_[endpoint];
-  waiting.push_back(std::move(body));
-  if (waiting.size() > 1) return;
-  SendFirst(endpoint);
+  if (faults_.unreachable) return;
+  auto& queue = notifications_[endpoint];
+  queue.push_back(std::move(body));
+  if (queue.size() > 1) return;
+  SendNextNotification(endpoint);
 }
 
-void Gateway::SendFirst(const std::string& endpoint) {
+void Gateway::SendNextNotification(const std::string& endpoint) {
   transactions_.Send(settings_.agent, {Verb::kNtfy, endpoint, notifications_[endpoint].front(),
                                        [this, endpoint](const mgcp::Answered& answered) {
-                                         if (answered.code() >= 400) OnRejected(endpoint, answered.message);
-                                         auto& waiting = notifications_[endpoint];
-                                         waiting.pop_front();
-                                         if (!waiting.empty()) return SendFirst(endpoint);
+                                         if (answered.code() >= 400) OnNotificationRejected(endpoint, answered.message);
+                                         auto& queue = notifications_[endpoint];
+                                         queue.pop_front();
+                                         if (!queue.empty()) return SendNextNotification(endpoint);
                                          notifications_.erase(endpoint);
                                        }});
 }
 
-// The agent would not have a notification: who dialled hears so from the gateway itself.
-void Gateway::OnRejected(const std::string& endpoint, const mgcp::Message* answer) {
+// The call agent rejected a notification: reports the failure to the caller on that line.
+void Gateway::OnNotificationRejected(const std::string& endpoint, const mgcp::Message* answer) {
   const auto number = wire_names::ParseLine(std::string_view(endpoint).substr(0, endpoint.rfind('@')));
   if (!number) return;
   const Line& line = lines_[static_cast<std::size_t>(*number)];
   if (!line.in_use || !line.connection.empty()) return;
   const bool refused = answer != nullptr && answer->Get(wire_names::kAnswer) == "refused";
-  const auto pause = refused ? wire_names::Number<std::uint32_t>(answer->Get(wire_names::kPause)).value_or(0) : 0;
-  on_heard_(*number, refused ? Heard::kRefused : Heard::kFailed, TimeUs{pause} * 1000);
+  const auto retry_after_ms =
+      refused ? wire_names::Number<std::uint32_t>(answer->Get(wire_names::kPause)).value_or(0) : 0;
+  on_caller_event_(*number, refused ? CallerEvent::kRefused : CallerEvent::kFailed, TimeUs{retry_after_ms} * 1000);
 }
 
 void Gateway::NotifyLine(int number, const Line& line, std::string_view events, std::string_view more) {
@@ -126,10 +128,10 @@
   Notify(wire_names::Circuit(circuit.far, circuit.circuit, settings_.domain), body + more);
 }
 
-// ---- commands ----
+// ---- Commands ----
 
 void Gateway::OnCommand(mgcp::Transactions::CommandId id, const mgcp::Message& message) {
-  if (faults_.deaf) return;
+  if (faults_.unreachable) return;
   if (faults_.error_code != 0) return transactions_.Respond(id, faults_.error_code, {}, "as told");
   if (!mgcp::EqualsIgnoringCase(message.endpoint.domain, settings_.domain))
     return transactions_.Respond(id, mgcp::kUnknownEndpoint);
@@ -159,7 +161,7 @@
         lines_[i].connection.clear();
       } else {
         ApplyRequest(message, lines_[i]);
-        TryDial(static_cast<int>(i), lines_[i]);
+        SendDialledDigits(static_cast<int>(i), lines_[i]);
       }
     }
     return transactions_.Respond(id, message.verb == Verb::kDlcx ? mgcp::kDeleted : mgcp::kOk);
@@ -171,13 +173,13 @@
   if (const mgcp::Parameter* request = message.Find("X")) line.request = request->value;
   const mgcp::Parameter* wanted = message.Find("R");
   if (wanted == nullptr) return;
-  line.wants_off_hook = false;
+  line.off_hook_requested = false;
   const auto events = mgcp::ParseEventList(wanted->value);
   if (!events) return;
   for (const mgcp::EventRef& event : *events) {
     if (!mgcp::EqualsIgnoringCase(event.name, "hd")) continue;
-    line.wants_off_hook = true;
-    // L/hd(E(R(...),D((map)),S(...))): what is asked once the line is off hook.
+    line.off_hook_requested = true;
+    // L/hd(E(R(...),D((map)),S(...))): the embedded request, which takes effect once the line is off hook.
     const auto embedded = mgcp::Argument(event.parameters, "E");
     line.digit_map = mgcp::DigitMap::Parse(mgcp::Argument(embedded, "D"));
   }
@@ -191,9 +193,13 @@
     const bool tone = mgcp::EqualsIgnoringCase(signal.name, "cg") || mgcp::EqualsIgnoringCase(signal.name, "ro") ||
                       mgcp::EqualsIgnoringCase(signal.name, "bz");
     if (!tone || message.Find(wire_names::kAnswer) == nullptr) continue;
-    const auto pause = wire_names::Number<std::uint32_t>(message.Get(wire_names::kPause)).value_or(0);
+    const auto retry_after_ms = wire_names::Number<std::uint32_t>(message.Get(wire_names::kPause)).value_or(0);
     const bool busy = mgcp::EqualsIgnoringCase(signal.name, "bz");
-    on_heard_(number, refused ? Heard::kRefused : busy ? Heard::kBusy : Heard::kFailed, TimeUs{pause} * 1000);
+    on_caller_event_(number,
+                     refused ? CallerEvent::kRefused
+                     : busy  ? CallerEvent::kBusy
+                             : CallerEvent::kFailed,
+                     TimeUs{retry_after_ms} * 1000);
     return;
   }
 }
@@ -208,50 +214,50 @@
       if (ring && line.off_hook) return transactions_.Respond(id, mgcp::kAlreadyOffHook, {}, "phone off hook");
       if (!ring && !line.off_hook) return transactions_.Respond(id, mgcp::kAlreadyOnHook, {}, "phone on hook");
       ApplyRequest(message, line);
-      line.connection = NewConnection();
-      Writer(&body).Line("I", line.connection).Session(SessionFor(settings_.address, line.connection));
+      line.connection = NextConnectionId();
+      Writer(&body).Line("I", line.connection).Session(SessionDescription(settings_.address, line.connection));
       transactions_.Respond(id, mgcp::kOk, body);
       if (!ring) {
-        if (line.in_use) on_heard_(number, Heard::kAnswered, 0);
+        if (line.in_use) on_caller_event_(number, CallerEvent::kAnswered, 0);
         return;
       }
       line.ringing = true;
-      line.use = next_use_++;
-      runtime_->StartTimer(settings_.ring_us, [this, alive = alive_, number, use = line.use] {
+      line.generation = next_generation_++;
+      runtime_->StartTimer(settings_.ring_us, [this, alive = alive_, number, generation = line.generation] {
         if (!*alive) return;
-        Line& rung = lines_[static_cast<std::size_t>(number)];
-        if (rung.use != use || !rung.ringing) return;
-        rung.ringing = false;
-        rung.off_hook = true;
-        NotifyLine(number, rung, "L/hd");
+        Line& ringing_line = lines_[static_cast<std::size_t>(number)];
+        if (ringing_line.generation != generation || !ringing_line.ringing) return;
+        ringing_line.ringing = false;
+        ringing_line.off_hook = true;
+        NotifyLine(number, ringing_line, "L/hd");
       });
       return;
     }
     case Verb::kMdcx:
     case Verb::kRqnt: {
-      // A tone for a phone that is on hook: nobody would hear it.
+      // A tone is rejected if the phone is on hook.
       if (message.verb == Verb::kRqnt && message.Find(wire_names::kAnswer) != nullptr && !line.off_hook)
         return transactions_.Respond(id, mgcp::kAlreadyOnHook, {}, "phone on hook");
       ApplyRequest(message, line);
       transactions_.Respond(id, mgcp::kOk);
       ApplySignals(message, number, line);
-      return TryDial(number, line);
+      return SendDialledDigits(number, line);
     }
     case Verb::kDlcx: {
       ApplyRequest(message, line);
-      const bool had = !std::exchange(line.connection, {}).empty();
+      const bool had_connection = !std::exchange(line.connection, {}).empty();
       Writer(&body).Line("P", "PS=0, OS=0, PR=0, OR=0, PL=0, JI=0, LA=0");
       transactions_.Respond(id, mgcp::kDeleted, body);
       line.ringing = false;
-      if (had && line.off_hook) {
-        // The far side hung up: so does the person, a caller through the laboratory, a called one by itself.
+      if (had_connection && line.off_hook) {
+        // The other party hung up. A simulated caller is notified and hangs up itself; a called line goes on hook here.
         if (line.in_use) {
-          on_heard_(number, Heard::kEnded, 0);
+          on_caller_event_(number, CallerEvent::kEnded, 0);
         } else {
           HangUp(number);
         }
       }
-      return TryDial(number, line);
+      return SendDialledDigits(number, line);
     }
     case Verb::kAuep:
       Writer(&body).Line("I", line.connection).Line("ES", line.off_hook ? "L/hd" : "L/hu");
@@ -274,13 +280,14 @@
   std::string body;
   switch (message.verb) {
     case Verb::kCrcx: {
-      if (const auto* sup = FindEvent(signals, "MS", "sup")) return SeizeFor(id, message, circuit, sup->parameters);
+      if (const auto* sup = FindEvent(signals, "MS", "sup"))
+        return HandleSetUpCommand(id, message, circuit, sup->parameters);
       const bool answers = FindEvent(signals, "MS", "ans") != nullptr;
       const bool idle = network_->Idle(settings_.number, circuit);
       if (answers ? idle : !idle) return transactions_.Respond(id, mgcp::kGlare, CircuitState(circuit), "in use");
       trunk.request = message.Get("X");
-      trunk.connection = NewConnection();
-      Writer(&body).Line("I", trunk.connection).Session(SessionFor(settings_.address, trunk.connection));
+      trunk.connection = NextConnectionId();
+      Writer(&body).Line("I", trunk.connection).Session(SessionDescription(settings_.address, trunk.connection));
       transactions_.Respond(id, mgcp::kOk, body);
       if (answers) network_->Answer(settings_.number, circuit);
       return;
@@ -291,13 +298,13 @@
       return transactions_.Respond(id, mgcp::kOk, CircuitState(circuit));
     case Verb::kDlcx: {
       const auto* rel = FindEvent(signals, "MS", "rel");
-      ReleaseNews news;
-      if (rel != nullptr) news.cause = wire_names::Number<int>(rel->parameters).value_or(41);
-      news.at = wire_names::Number<int>(message.Get(wire_names::kAt)).value_or(settings_.number);
-      news.wait_us = TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kWait)).value_or(0)} * 1000;
-      if (const auto* request = message.Find("X")) trunk.request = trunk.armed = request->value;
+      ReleaseDetails details;
+      if (rel != nullptr) details.cause = wire_names::Number<int>(rel->parameters).value_or(41);
+      details.exchange = wire_names::Number<int>(message.Get(wire_names::kAt)).value_or(settings_.number);
+      details.wait_us = TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kWait)).value_or(0)} * 1000;
+      if (const auto* request = message.Find("X")) trunk.request = trunk.seizure_request = request->value;
       trunk.connection.clear();
-      network_->Release(settings_.number, circuit, news);
+      network_->Release(settings_.number, circuit, details);
       body = CircuitState(circuit);
       Writer(&body).Line("P", "PS=0, OS=0, PR=0, OR=0, PL=0, JI=0, LA=0");
       return transactions_.Respond(id, mgcp::kDeleted, body);
@@ -311,8 +318,8 @@
   }
 }
 
-void Gateway::SeizeFor(mgcp::Transactions::CommandId id, const mgcp::Message& message, const CircuitId& circuit,
-                       std::string_view sup) {
+void Gateway::HandleSetUpCommand(mgcp::Transactions::CommandId id, const mgcp::Message& message,
+                                 const CircuitId& circuit, std::string_view sup) {
   if (!network_->At(settings_.number).alive)
     return transactions_.Respond(id, mgcp::kNoResourcesNow, CircuitState(circuit), "own processor out of service");
   SetUpInfo info;
@@ -320,21 +327,23 @@
   info.calling = mgcp::Argument(sup, "id");
   info.call_class = message.Get(wire_names::kClass);
   info.origin = wire_names::Number<int>(message.Get(wire_names::kOrigin)).value_or(-1);
-  info.patience_us = TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kPatience)).value_or(0)} * 1000;
+  info.caller_timeout_us =
+      TimeUs{wire_names::Number<std::uint32_t>(message.Get(wire_names::kPatience)).value_or(0)} * 1000;
   info.destination = ExchangeOf(info.called);
-  if (const auto others = mgcp::SplitTopLevel(message.Get(wire_names::kCircuitList))) {
-    for (const std::string_view other : *others) {
-      if (const auto number = wire_names::Number<unsigned>(other)) info.others.push_back(*number);
+  if (const auto additional_circuits = mgcp::SplitTopLevel(message.Get(wire_names::kCircuitList))) {
+    for (const std::string_view other : *additional_circuits) {
+      if (const auto number = wire_names::Number<unsigned>(other)) info.additional_circuits.push_back(*number);
     }
   }
   Trunk& trunk = trunks_[circuit];
-  const bool silent = faults_.silent_after_ack;
-  if (!network_->Idle(settings_.number, circuit) || (!silent && !network_->Seize(settings_.number, circuit, info)))
+  const bool suppress_seizure = faults_.silent_after_ack;
+  if (!network_->Idle(settings_.number, circuit) ||
+      (!suppress_seizure && !network_->Seize(settings_.number, circuit, info)))
     return transactions_.Respond(id, mgcp::kGlare, CircuitState(circuit), "in use");
   trunk.request = message.Get("X");
-  trunk.connection = NewConnection();
+  trunk.connection = NextConnectionId();
   std::string body;
-  Writer(&body).Line("I", trunk.connection).Session(SessionFor(settings_.address, trunk.connection));
+  Writer(&body).Line("I", trunk.connection).Session(SessionDescription(settings_.address, trunk.connection));
   transactions_.Respond(id, mgcp::kOk, body);
 }
 
@@ -343,12 +352,13 @@
   for (std::size_t i = 1; gone && i < lines_.size(); ++i) {
     if (!mgcp::EndpointMatches(endpoints, std::string(wire_names::kLines) + std::to_string(i))) continue;
     Line& line = lines_[i];
-    const bool heard = line.in_use && line.off_hook;
+    const bool caller_off_hook = line.in_use && line.off_hook;
     line.connection.clear();
     line.ringing = false;
-    line.wants_off_hook = false;
+    line.off_hook_requested = false;
     line.off_hook = false;
-    if (std::exchange(line.in_use, false) && heard) on_heard_(static_cast<int>(i), Heard::kEnded, 0);
+    if (std::exchange(line.in_use, false) && caller_off_hook)
+      on_caller_event_(static_cast<int>(i), CallerEvent::kEnded, 0);
   }
   for (auto& [circuit, trunk] : trunks_) {
     if (!gone) break;
@@ -362,25 +372,27 @@
   transactions_.Send(settings_.agent, {Verb::kRsip, std::string(endpoints) + "@" + settings_.domain, body, {}});
 }
 
-// ---- circuits ----
+// ---- Circuits ----
 
 void Gateway::OnSeizure(const CircuitId& circuit, const SetUpInfo& info) {
   std::string more;
   Writer writer(&more);
   writer.Line(wire_names::kOrigin, std::to_string(info.origin)).Line(wire_names::kClass, info.call_class);
-  writer.Line(wire_names::kPatience, std::to_string(info.patience_us / 1000));
-  std::string others;
-  for (const unsigned other : info.others) others += (others.empty() ? "" : ",") + std::to_string(other);
-  if (!others.empty()) writer.Line(wire_names::kCircuitList, others);
-  trunks_[circuit].request = trunks_[circuit].armed;
+  writer.Line(wire_names::kPatience, std::to_string(info.caller_timeout_us / 1000));
+  std::string additional_circuits;
+  for (const unsigned other : info.additional_circuits)
+    additional_circuits += (additional_circuits.empty() ? "" : ",") + std::to_string(other);
+  if (!additional_circuits.empty()) writer.Line(wire_names::kCircuitList, additional_circuits);
+  trunks_[circuit].request = trunks_[circuit].seizure_request;
   NotifyCircuit(circuit, "MS/sup(addr(" + info.called + "),id(" + info.calling + "))", more);
 }
 
 void Gateway::OnAnswer(const CircuitId& circuit) {
-  if (faults_.notify_late_us == 0) return NotifyCircuit(circuit, "MS/ans");
-  // The request id is the one of now: what comes late must be seen to be of an attempt long over.
+  if (faults_.answer_notify_delay_us == 0) return NotifyCircuit(circuit, "MS/ans");
+  // Keeps the current request identifier, so that the call agent can recognize a late notification as belonging to an
+  // attempt that has ended.
   const std::string request = trunks_[circuit].request;
-  runtime_->StartTimer(faults_.notify_late_us, [this, alive = alive_, circuit, request] {
+  runtime_->StartTimer(faults_.answer_notify_delay_us, [this, alive = alive_, circuit, request] {
     if (!*alive) return;
     std::string body;
     Writer(&body).Line("X", request).Line("O", "MS/ans");
@@ -388,21 +400,21 @@
   });
 }
 
-void Gateway::OnRelease(const CircuitId& circuit, const ReleaseNews& news) {
+void Gateway::OnRelease(const CircuitId& circuit, const ReleaseDetails& details) {
   std::string more;
   Writer writer(&more);
-  if (news.at >= 0) writer.Line(wire_names::kAt, std::to_string(news.at));
-  if (news.wait_us > 0) writer.Line(wire_names::kWait, std::to_string(news.wait_us / 1000));
+  if (details.exchange >= 0) writer.Line(wire_names::kAt, std::to_string(details.exchange));
+  if (details.wait_us > 0) writer.Line(wire_names::kWait, std::to_string(details.wait_us / 1000));
   std::string list;
-  for (const double figure : news.load) list += (list.empty() ? "" : ",") + std::to_string(figure);
+  for (const double figure : details.load) list += (list.empty() ? "" : ",") + std::to_string(figure);
   if (!list.empty()) writer.Line(wire_names::kLoad, list);
-  NotifyCircuit(circuit, "MS/rel(" + std::to_string(news.cause) + ")", more);
+  NotifyCircuit(circuit, "MS/rel(" + std::to_string(details.cause) + ")", more);
 }
 
 void Gateway::OnReleaseComplete(const CircuitId& circuit) { NotifyCircuit(circuit, "MS/rlc"); }
 
 void Gateway::OnBlocked(const CircuitId& circuit, bool blocked) {
-  if (faults_.deaf) return;
+  if (faults_.unreachable) return;
   std::string body;
   Writer(&body).Line("RM", blocked ? "forced" : "restart");
   transactions_.Send(settings_.agent,
--- a/src/lab/gateway.h
+++ b/src/lab/gateway.h
@@ -1,6 +1,6 @@
-// The stand-in gateway of one exchange: lines with telephones, and the exchange's ends of its trunk circuits, spoken
-// for in MGCP to the call agent (a real edge). It does what RFC 3435 asks of a gateway for the packages used, and
-// misbehaves on demand.
+// Simulated gateway of one exchange: subscriber lines and the exchange's ends of its trunk circuits, controlled over
+// MGCP by the call agent (a real edge). It implements the gateway side of RFC 3435 for the packages in use and supports
+// fault injection.
 #ifndef CROFTRUN_LAB_GATEWAY_H_
 #define CROFTRUN_LAB_GATEWAY_H_
 
@@ -18,92 +18,97 @@
 
 namespace croftrun::lab {
 
-// What a person at a line hears.
-enum class Heard { kAnswered, kRefused, kFailed, kBusy, kEnded };
+// What the caller at a line observes.
+enum class CallerEvent { kAnswered, kRefused, kFailed, kBusy, kEnded };
 
 struct GatewaySettings {
   int number = 0;
   core::Address address, agent;
   std::string domain;
   int lines = 0;
-  TimeUs ring_us = 50'000;  // a rung line answers after this
+  TimeUs ring_us = 50'000;  // time from ringing to answer
   mgcp::TransactionSettings transactions;
 };
 
-// Ways to misbehave, each for as long as it is set.
+// Injected faults, each in force as long as it is set.
 struct GatewayFaults {
-  bool silent_after_ack = false;  // seizures are acknowledged and go nowhere
-  int error_code = 0;             // every command is answered with this
-  TimeUs notify_late_us = 0;      // answers and releases are notified this much later
-  bool deaf = false;              // nothing is heard or said
+  bool silent_after_ack = false;      // seizures are acknowledged but not sent to the network
+  int error_code = 0;                 // return code for every command; 0: none
+  TimeUs answer_notify_delay_us = 0;  // delay of answer notifications
+  bool unreachable = false;           // neither receives nor sends anything
 };
 
+// MGCP gateway with simulated callers and called parties.
 class Gateway final : public CircuitUser {
  public:
-  using OnHeard = std::function<void(int line, Heard heard, TimeUs pause_us)>;
+  using CallerEventHandler = std::function<void(int line, CallerEvent event, TimeUs retry_after_us)>;
 
-  Gateway(const GatewaySettings& settings, core::Runtime* runtime, Network* network, OnHeard on_heard);
+  Gateway(const GatewaySettings& settings, core::Runtime* runtime, Network* network,
+          CallerEventHandler on_caller_event);
 
-  // The person at `line` goes off hook, dials, and waits for `patience_us` at most. False if the line is in use.
-  bool Dial(int line, const std::string& digits, TimeUs patience_us);
+  // Takes the line off hook and dials. The caller waits for an answer for at most `caller_timeout_us`. Returns false if
+  // the line is in use.
+  bool Dial(int line, const std::string& digits, TimeUs caller_timeout_us);
   void HangUp(int line);
-  bool LineIdle(int line) const;
-  // Endpoints are initialised: all calls on them are gone. `method`: restart, forced, graceful, disconnected.
+  bool IsLineIdle(int line) const;
+  // Reports a restart of the endpoints (RSIP) by `method`: restart, forced, graceful or disconnected. With the first
+  // two, all calls on them are lost.
   void Restart(std::string_view method, std::string_view endpoints);
   GatewayFaults& faults() { return faults_; }
   const mgcp::Transactions& transactions() const { return transactions_; }
 
   void OnSeizure(const CircuitId& circuit, const SetUpInfo& info) override;
   void OnAnswer(const CircuitId& circuit) override;
-  void OnRelease(const CircuitId& circuit, const ReleaseNews& news) override;
+  void OnRelease(const CircuitId& circuit, const ReleaseDetails& details) override;
   void OnReleaseComplete(const CircuitId& circuit) override;
   void OnBlocked(const CircuitId& circuit, bool blocked) override;
 
  private:
   struct Line {
     bool off_hook = false;
-    bool in_use = false;  // by a caller of the laboratory, from dialling to on hook
-    std::string request;  // X: in force
-    bool wants_off_hook = false;
+    bool in_use = false;  // by a simulated caller, from dialling to on hook
+    std::string request;  // identifier (X) of the notification request in force
+    bool off_hook_requested = false;
     std::optional<mgcp::DigitMap> digit_map;
     std::string connection;
-    std::string to_dial;  // waits to be armed
-    TimeUs patience_us = 0;
+    std::string pending_digits;  // digits to be sent once a digit map is in force
+    TimeUs caller_timeout_us = 0;
     bool ringing = false;
-    std::uint64_t use = 0;  // tells one use of the line from the next
+    std::uint64_t generation = 0;  // distinguishes successive uses of the line
   };
   struct Trunk {
     std::string request, connection;
-    std::string armed;  // the request under which a seizure is told
+    std::string seizure_request;  // identifier under which the next seizure is notified
   };
 
   void OnCommand(mgcp::Transactions::CommandId id, const mgcp::Message& message);
   void OnLineCommand(mgcp::Transactions::CommandId id, const mgcp::Message& message, int number);
   void OnCircuitCommand(mgcp::Transactions::CommandId id, const mgcp::Message& message, const CircuitId& circuit);
-  void SeizeFor(mgcp::Transactions::CommandId id, const mgcp::Message& message, const CircuitId& circuit,
-                std::string_view sup);
+  void HandleSetUpCommand(mgcp::Transactions::CommandId id, const mgcp::Message& message, const CircuitId& circuit,
+                          std::string_view sup);
   void ApplyRequest(const mgcp::Message& message, Line& line);
   void ApplySignals(const mgcp::Message& message, int number, Line& line);
-  void TryDial(int number, Line& line);
-  // One notification of an endpoint is out at a time (RFC 3435 4.4.1): they arrive in the order of the events.
+  void SendDialledDigits(int number, Line& line);
+  // Queues a notification. Only one per endpoint is outstanding at a time (RFC 3435 4.4.1), so that they arrive in the
+  // order of the events.
   void Notify(std::string endpoint, std::string body);
-  void SendFirst(const std::string& endpoint);
-  void OnRejected(const std::string& endpoint, const mgcp::Message* answer);
+  void SendNextNotification(const std::string& endpoint);
+  void OnNotificationRejected(const std::string& endpoint, const mgcp::Message* answer);
   void NotifyLine(int number, const Line& line, std::string_view events, std::string_view more = {});
   void NotifyCircuit(const CircuitId& circuit, std::string_view event, std::string more = {});
   std::string CircuitState(const CircuitId& circuit) const;
-  std::string NewConnection();
+  std::string NextConnectionId();
 
   GatewaySettings settings_;
   core::Runtime* runtime_;
   Network* network_;
-  OnHeard on_heard_;
+  CallerEventHandler on_caller_event_;
   std::vector<Line> lines_;
   std::map<CircuitId, Trunk> trunks_;
-  std::map<std::string, std::deque<std::string>> notifications_;  // by endpoint; the first is out
+  std::map<std::string, std::deque<std::string>> notifications_;  // by endpoint; the first one is outstanding
   GatewayFaults faults_;
   std::uint32_t next_connection_ = 1;
-  std::uint64_t next_use_ = 1;
+  std::uint64_t next_generation_ = 1;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   mgcp::Transactions transactions_;
 
--- a/src/lab/load_line.cpp
+++ b/src/lab/load_line.cpp
@@ -18,9 +18,9 @@
 namespace croftrun::lab {
 namespace {
 
-constexpr std::size_t kBatch = 64;
-constexpr std::size_t kBuffer = 2048;
-constexpr TimeUs kRepeatAfter = 500'000;
+constexpr std::size_t kBatchSize = 64;
+constexpr std::size_t kBufferOctets = 2048;
+constexpr TimeUs kRetransmitInterval = 500'000;
 
 sockaddr_in SocketAddress(const core::Address& address) {
   sockaddr_in out{};
@@ -41,7 +41,7 @@
   return socket;
 }
 
-// The value of a line of the message, empty if it has none.
+// The value of a parameter line of the message; empty if there is none.
 std::string_view Field(std::string_view message, std::string_view name) {
   std::size_t at = 0;
   while ((at = message.find(name, at)) != std::string_view::npos) {
@@ -54,7 +54,7 @@
   return {};
 }
 
-std::string_view Word(std::string_view* rest) {
+std::string_view NextWord(std::string_view* rest) {
   const auto end = rest->find_first_of(" \r");
   const auto word = rest->substr(0, end);
   rest->remove_prefix(end == std::string_view::npos ? rest->size() : end + 1);
@@ -71,8 +71,8 @@
       socket_(Bind(settings.gateway)),
       roster_(Bind(settings.roster)),
       lines_(static_cast<std::size_t>(settings.lines) + 1),
-      buffers_(kBatch * kBuffer) {
-  for (int i = settings.lines; i >= 1; --i) free_.push_back(i);
+      buffers_(kBatchSize * kBufferOctets) {
+  for (int i = settings.lines; i >= 1; --i) free_lines_.push_back(i);
 }
 
 LoadLine::~LoadLine() {
@@ -87,19 +87,19 @@
 }
 
 void LoadLine::Queue(std::string datagram) {
-  out_.push_back(std::move(datagram));
-  if (out_.size() >= kBatch) Flush();
+  send_queue_.push_back(std::move(datagram));
+  if (send_queue_.size() >= kBatchSize) Flush();
 }
 
 void LoadLine::Flush() {
   sockaddr_in edge = SocketAddress(settings_.edge);
-  std::array<iovec, kBatch> parts{};
-  std::array<mmsghdr, kBatch> headers{};
+  std::array<iovec, kBatchSize> parts{};
+  std::array<mmsghdr, kBatchSize> headers{};
   std::size_t sent = 0;
-  while (sent < out_.size()) {
-    const std::size_t count = std::min(kBatch, out_.size() - sent);
+  while (sent < send_queue_.size()) {
+    const std::size_t count = std::min(kBatchSize, send_queue_.size() - sent);
     for (std::size_t i = 0; i < count; ++i) {
-      std::string& text = out_[sent + i];
+      std::string& text = send_queue_[sent + i];
       parts[i] = {text.data(), text.size()};
       headers[i].msg_hdr = {};
       headers[i].msg_hdr.msg_name = &edge;
@@ -112,38 +112,38 @@
     sent += static_cast<std::size_t>(done);
   }
   figures_.datagrams_out += sent;
-  out_.clear();
+  send_queue_.clear();
 }
 
 bool LoadLine::Receive(int wait_ms) {
-  std::array<pollfd, 2> wait = {{{socket_, POLLIN, 0}, {roster_, POLLIN, 0}}};
-  if (::poll(wait.data(), wait.size(), wait_ms) <= 0) return false;
-  if ((wait[1].revents & POLLIN) != 0) {
-    std::array<char, 512> ask;
+  std::array<pollfd, 2> descriptors = {{{socket_, POLLIN, 0}, {roster_, POLLIN, 0}}};
+  if (::poll(descriptors.data(), descriptors.size(), wait_ms) <= 0) return false;
+  if ((descriptors[1].revents & POLLIN) != 0) {
+    std::array<char, 512> request;
     sockaddr_in from{};
     socklen_t size = sizeof(from);
-    if (::recvfrom(roster_, ask.data(), ask.size(), 0, reinterpret_cast<sockaddr*>(&from), &size) > 0) {
+    if (::recvfrom(roster_, request.data(), request.size(), 0, reinterpret_cast<sockaddr*>(&from), &size) > 0) {
       constexpr std::string_view kList =
           R"({"version":1,"entries":[{"exchange":1,"number":0,"zone":0,"status":"ready"},)"
           R"({"exchange":2,"number":1,"zone":0,"status":"ready"}]})";
       ::sendto(roster_, kList.data(), kList.size(), 0, reinterpret_cast<sockaddr*>(&from), size);
     }
   }
-  if ((wait[0].revents & POLLIN) == 0) return true;
-  std::array<iovec, kBatch> parts{};
-  std::array<mmsghdr, kBatch> headers{};
-  for (std::size_t i = 0; i < kBatch; ++i) {
-    parts[i] = {buffers_.data() + i * kBuffer, kBuffer};
+  if ((descriptors[0].revents & POLLIN) == 0) return true;
+  std::array<iovec, kBatchSize> parts{};
+  std::array<mmsghdr, kBatchSize> headers{};
+  for (std::size_t i = 0; i < kBatchSize; ++i) {
+    parts[i] = {buffers_.data() + i * kBufferOctets, kBufferOctets};
     headers[i].msg_hdr.msg_iov = &parts[i];
     headers[i].msg_hdr.msg_iovlen = 1;
   }
-  const int count = ::recvmmsg(socket_, headers.data(), kBatch, MSG_DONTWAIT, nullptr);
+  const int count = ::recvmmsg(socket_, headers.data(), kBatchSize, MSG_DONTWAIT, nullptr);
   for (int i = 0; i < count; ++i) {
     const auto index = static_cast<std::size_t>(i);
     ++figures_.datagrams_in;
-    OnDatagram({buffers_.data() + index * kBuffer, headers[index].msg_len});
+    OnDatagram({buffers_.data() + index * kBufferOctets, headers[index].msg_len});
   }
-  last_heard_ = Now();
+  last_received_at_ = Now();
   Flush();
   return true;
 }
@@ -161,70 +161,70 @@
 
 std::string LoadLine::Notify(std::string_view endpoint, std::string_view request, std::string_view events) {
   std::string command = "NTFY " + std::to_string(next_transaction_++) + " " + std::string(endpoint) + " MGCP 1.0\r\n";
-  if (!to_confirm_.empty()) command += "K: " + std::exchange(to_confirm_, {}) + "\r\n";
+  if (!to_acknowledge_.empty()) command += "K: " + std::exchange(to_acknowledge_, {}) + "\r\n";
   return command + "X: " + std::string(request) + "\r\nO: " + std::string(events) + "\r\n";
 }
 
 void LoadLine::OnMessage(std::string_view message, std::string* reply) {
   std::string_view rest = message;
-  const auto verb = Word(&rest);
+  const auto verb = NextWord(&rest);
   if (verb.empty()) return;
   if (verb[0] >= '0' && verb[0] <= '9') {
-    const auto transaction = Word(&rest);
-    if (to_confirm_.size() < 400) to_confirm_.append(to_confirm_.empty() ? "" : ",").append(transaction);
+    const auto transaction = NextWord(&rest);
+    if (to_acknowledge_.size() < 400) to_acknowledge_.append(to_acknowledge_.empty() ? "" : ",").append(transaction);
     if (verb[0] < '4') return;
     ++figures_.rejected;
-    const auto dial = dials_.find(wire_names::Number<std::uint32_t>(transaction).value_or(0));
-    if (dial == dials_.end() || Field(message, wire_names::kAnswer).empty()) return;
+    const auto dial = line_by_dial_.find(wire_names::Number<std::uint32_t>(transaction).value_or(0));
+    if (dial == line_by_dial_.end() || Field(message, wire_names::kAnswer).empty()) return;
     return OnRefusal(dial->second, "refused");
   }
-  const auto transaction = Word(&rest);
-  const auto endpoint = Word(&rest);
+  const auto transaction = NextWord(&rest);
+  const auto endpoint = NextWord(&rest);
   const auto local = endpoint.substr(0, endpoint.rfind('@'));
-  const auto say = [&](std::string_view code, std::string_view body) {
+  const auto respond = [&](std::string_view code, std::string_view body) {
     if (!reply->empty()) *reply += ".\r\n";
     reply->append(code).append(" ").append(transaction).append("\r\n").append(body);
   };
-  const auto add = [&](const std::string& command) {
+  const auto append_command = [&](const std::string& command) {
     *reply += ".\r\n";
     *reply += command;
   };
   if (local == "aaln/*") {
     if (verb == "RQNT") {
-      for (Line& line : lines_) Arm(line, Field(message, "X"));
+      for (Line& line : lines_) UpdateRequest(line, Field(message, "X"));
     }
-    return say(verb == "DLCX" ? "250" : "200", "");
+    return respond(verb == "DLCX" ? "250" : "200", "");
   }
   if (const auto number = wire_names::ParseLine(local)) {
     Line& line = lines_[static_cast<std::size_t>(*number)];
     if (verb == "CRCX") {
-      say("200", "I: " + std::to_string(next_connection_++) + "\r\n" + std::string(kSession));
+      respond("200", "I: " + std::to_string(next_connection_++) + "\r\n" + std::string(kSession));
       if (line.state != State::kDialled) return;
       const TimeUs now = Now();
-      line.state = State::kUp;
-      figures_.most_up = std::max(figures_.most_up, ++up_);
+      line.state = State::kEstablished;
+      figures_.most_up = std::max(figures_.most_up, ++established_);
       ++figures_.answered;
-      figures_.added_us.push_back(line.first_us + static_cast<double>(now - line.answered_at));
+      figures_.added_us.push_back(line.seizure_delay_us + static_cast<double>(now - line.answered_at));
       figures_.answer_us.push_back(static_cast<double>(now - line.dialled_at));
       if (now > line.dialled_at + settings_.patience_us) ++figures_.late;
-      to_hang_up_.emplace_back(now + settings_.hold_us, *number);
+      pending_hang_ups_.emplace_back(now + settings_.hold_us, *number);
       return;
     }
-    say(verb == "DLCX" ? "250" : "200", "");
+    respond(verb == "DLCX" ? "250" : "200", "");
     const auto answer = Field(message, wire_names::kAnswer);
     if (!answer.empty() && line.state == State::kDialled) return OnRefusal(*number, answer);
-    if (Field(message, "R").substr(0, 4) == "L/hd" && Arm(line, Field(message, "X"))) {
-      if (line.state == State::kLeaving) {
+    if (Field(message, "R").substr(0, 4) == "L/hd" && UpdateRequest(line, Field(message, "X"))) {
+      if (line.state == State::kAwaitingRequest) {
         line.state = State::kIdle;
-        free_.push_back(*number);
+        free_lines_.push_back(*number);
       }
     }
     return;
   }
-  if (verb == "AUEP") return say("200", "X-State: idle\r\n");
+  if (verb == "AUEP") return respond("200", "X-State: idle\r\n");
   const auto request = Field(message, "X");
   if (verb == "CRCX") {
-    say("200", "I: " + std::to_string(next_connection_++) + "\r\n" + std::string(kSession));
+    respond("200", "I: " + std::to_string(next_connection_++) + "\r\n" + std::string(kSession));
     const auto sup = message.find("id(aaln/");
     if (sup == std::string_view::npos) return;
     auto id = message.substr(sup + 8);
@@ -232,15 +232,15 @@
     if (number && *number < lines_.size()) {
       Line& line = lines_[*number];
       line.answered_at = Now();
-      line.first_us = static_cast<double>(line.answered_at - line.dialled_at);
+      line.seizure_delay_us = static_cast<double>(line.answered_at - line.dialled_at);
     }
-    return add(Notify(endpoint, request, "MS/ans"));
+    return append_command(Notify(endpoint, request, "MS/ans"));
   }
   if (verb == "DLCX") {
-    say("250", "X-State: releasing\r\n");
-    return add(Notify(endpoint, request, "MS/rlc"));
+    respond("250", "X-State: releasing\r\n");
+    return append_command(Notify(endpoint, request, "MS/rlc"));
   }
-  say("200", "");
+  respond("200", "");
 }
 
 void LoadLine::OnRefusal(int number, std::string_view answer) {
@@ -250,16 +250,16 @@
   ++(answer == "refused" ? figures_.refused : figures_.failed);
   figures_.answer_us.push_back(static_cast<double>(now - line.dialled_at));
   if (now > line.dialled_at + settings_.patience_us) ++figures_.late;
-  line.state = State::kTone;
-  to_hang_up_.emplace_front(now, number);
+  line.state = State::kReleaseTone;
+  pending_hang_ups_.emplace_front(now, number);
 }
 
-bool LoadLine::Arm(Line& line, std::string_view request) {
+bool LoadLine::UpdateRequest(Line& line, std::string_view request) {
   std::uint64_t number = 0;
   std::from_chars(request.data(), request.data() + request.size(), number, 16);
   if (number <= line.request) return false;
   line.request = number;
-  line.armed = request;
+  line.request_id = request;
   return true;
 }
 
@@ -271,27 +271,27 @@
   std::snprintf(digits, sizeof(digits), "%04d", number % 10000);
   std::string events = "L/hd, D/1, D/1, D/0, D/0, D/1";
   for (int i = 0; i < 4; ++i) events += std::string(", D/") + digits[i];
-  dials_.erase(line.transaction);
+  line_by_dial_.erase(line.transaction);
   line.transaction = next_transaction_;
-  dials_[line.transaction] = number;
-  line.dial = Notify(wire_names::Line(number, settings_.domain), line.armed, events) +
-              "X-Patience: " + std::to_string(settings_.patience_us / 1000) + "\r\n";
-  Queue(line.dial);
-  to_check_.push_back({line.dialled_at + kRepeatAfter, number, line.transaction});
+  line_by_dial_[line.transaction] = number;
+  line.dialled_datagram = Notify(wire_names::Line(number, settings_.domain), line.request_id, events) +
+                          "X-Patience: " + std::to_string(settings_.patience_us / 1000) + "\r\n";
+  Queue(line.dialled_datagram);
+  pending_checks_.push_back({line.dialled_at + kRetransmitInterval, number, line.transaction});
   ++figures_.offered;
 }
 
 void LoadLine::HangUp(int number) {
   Line& line = lines_[static_cast<std::size_t>(number)];
-  if (line.state == State::kUp) --up_;
-  line.state = State::kLeaving;
-  Queue(Notify(wire_names::Line(number, settings_.domain), line.armed, "L/hu"));
+  if (line.state == State::kEstablished) --established_;
+  line.state = State::kAwaitingRequest;
+  Queue(Notify(wire_names::Line(number, settings_.domain), line.request_id, "L/hu"));
 }
 
-void LoadLine::Repeat(TimeUs now) {
-  while (!to_check_.empty() && to_check_.front().at <= now) {
-    const auto [at, number, transaction] = to_check_.front();
-    to_check_.pop_front();
+void LoadLine::RetransmitDials(TimeUs now) {
+  while (!pending_checks_.empty() && pending_checks_.front().at <= now) {
+    const auto [at, number, transaction] = pending_checks_.front();
+    pending_checks_.pop_front();
     Line& line = lines_[static_cast<std::size_t>(number)];
     if (line.state != State::kDialled || line.transaction != transaction) continue;
     if (now >= line.dialled_at + settings_.patience_us + 20'000) {
@@ -299,20 +299,20 @@
       HangUp(number);
       continue;
     }
-    // Lost on the way, or not looked at yet: the same octets again.
+    // The notification was lost or is not processed yet: retransmits the same octets.
     ++figures_.repeats;
-    Queue(line.dial);
-    to_check_.push_back({now + kRepeatAfter, number, line.transaction});
+    Queue(line.dialled_datagram);
+    pending_checks_.push_back({now + kRetransmitInterval, number, line.transaction});
   }
 }
 
-bool LoadLine::WaitForEdge(TimeUs longest_us) {
-  const TimeUs until = Now() + longest_us;
+bool LoadLine::WaitForEdge(TimeUs timeout_us) {
+  const TimeUs until = Now() + timeout_us;
   while (Now() < until) {
     Receive(50);
-    if (last_heard_ != 0 && Now() > last_heard_ + 300'000) return true;
+    if (last_received_at_ != 0 && Now() > last_received_at_ + 300'000) return true;
   }
-  return last_heard_ != 0;
+  return last_received_at_ != 0;
 }
 
 LoadFigures LoadLine::Run(void (*at_peak)(void*), void* context) {
@@ -321,33 +321,33 @@
   const TimeUs end = start + settings_.length_us;
   const double gap = 1e6 / settings_.calls_per_s;
   double next = static_cast<double>(start);
-  bool told = false;
+  bool peak_reported = false;
   while (true) {
     const TimeUs now = Now();
-    if (now >= end && !told) {
-      told = true;
+    if (now >= end && !peak_reported) {
+      peak_reported = true;
       figures_.seconds = static_cast<double>(now - start) / 1e6;
       if (at_peak != nullptr) at_peak(context);
     }
-    // Arrivals do not wait for answers; what the machine kept from being sent in time is sent now.
+    // Arrivals do not wait for answers. Calls that were due while this process was not scheduled are sent now.
     for (int burst = 0; now < end && next <= static_cast<double>(now) && burst < 256; ++burst, next += gap) {
-      if (free_.empty()) {
+      if (free_lines_.empty()) {
         ++figures_.no_line;
         continue;
       }
-      const int line = free_.back();
-      free_.pop_back();
+      const int line = free_lines_.back();
+      free_lines_.pop_back();
       Dial(line);
     }
-    while (!to_hang_up_.empty() && to_hang_up_.front().first <= now) {
-      const int line = to_hang_up_.front().second;
-      to_hang_up_.pop_front();
+    while (!pending_hang_ups_.empty() && pending_hang_ups_.front().first <= now) {
+      const int line = pending_hang_ups_.front().second;
+      pending_hang_ups_.pop_front();
       HangUp(line);
     }
-    Repeat(now);
+    RetransmitDials(now);
     Flush();
-    const bool quiet = free_.size() + 1 >= lines_.size();
-    if (now >= end && (quiet || now >= end + settings_.hold_us + settings_.patience_us + 2'000'000)) break;
+    const bool all_idle = free_lines_.size() + 1 >= lines_.size();
+    if (now >= end && (all_idle || now >= end + settings_.hold_us + settings_.patience_us + 2'000'000)) break;
     Receive(1);
   }
   return std::move(figures_);
--- a/src/lab/network.cpp
+++ b/src/lab/network.cpp
@@ -18,13 +18,15 @@
 
 Network::~Network() { *alive_ = false; }
 
-void Network::After(TimeUs delay, std::function<void()> what) {
-  runtime_->StartTimer(delay, [alive = alive_, what = std::move(what)] {
-    if (*alive) what();
+void Network::Schedule(TimeUs delay, std::function<void()> callback) {
+  runtime_->StartTimer(delay, [alive = alive_, callback = std::move(callback)] {
+    if (*alive) callback();
   });
 }
 
-TimeUs Network::Way(int a, int b) const { return At(a).zone == At(b).zone ? settings_.near_us : settings_.far_us; }
+TimeUs Network::PropagationDelay(int a, int b) const {
+  return At(a).zone == At(b).zone ? settings_.near_us : settings_.far_us;
+}
 
 void Network::AddGroup(int a, int b, unsigned circuits) { groups_[{std::min(a, b), std::max(a, b)}].resize(circuits); }
 
@@ -46,13 +48,13 @@
   const Circuit* circuit = Find(number, id);
   if (circuit == nullptr) return "idle";
   const End& end = circuit->ends[number < id.far ? 0 : 1];
-  if (end.use != Use::kIdle && end.far_released) return "far-released";
-  switch (end.use) {
-    case Use::kIdle:
+  if (end.state != EndState::kIdle && end.far_released) return "far-released";
+  switch (end.state) {
+    case EndState::kIdle:
       return circuit->blocked ? "blocked" : "idle";
-    case Use::kReleasing:
+    case EndState::kReleasing:
       return "releasing";
-    case Use::kIn:
+    case EndState::kSeizedIn:
       return "seized-in";
     default:
       return "seized";
@@ -70,17 +72,17 @@
   return false;
 }
 
-// ---- processors ----
+// ---- Processors ----
 
-double Network::Warmth(const ExchangeState& exchange) const {
+double Network::CapacityShare(const ExchangeState& exchange) const {
   if (exchange.started_us == 0) return 1.0;
-  const double grown =
+  const double warm_up_progress =
       static_cast<double>(runtime_->Now() - exchange.started_us) / static_cast<double>(settings_.processor.warm_up_us);
   const double from = settings_.processor.cold_from;
-  return grown >= 1.0 ? 1.0 : from + (1.0 - from) * grown;
+  return warm_up_progress >= 1.0 ? 1.0 : from + (1.0 - from) * warm_up_progress;
 }
 
-TimeUs Network::Wait(int number) const {
+TimeUs Network::QueueDelay(int number) const {
   const TimeUs now = runtime_->Now(), until = std::max(At(number).busy_until, At(number).pause_until);
   return until > now ? until - now : 0;
 }
@@ -89,237 +91,246 @@
   const auto group = groups_.find({std::min(a, b), std::max(a, b)});
   if (group == groups_.end()) return 0;
   return static_cast<unsigned>(std::count_if(group->second.begin(), group->second.end(), [](const Circuit& circuit) {
-    return !circuit.blocked && circuit.ends[0].use == Use::kIdle && circuit.ends[1].use == Use::kIdle;
+    return !circuit.blocked && circuit.ends[0].state == EndState::kIdle && circuit.ends[1].state == EndState::kIdle;
   }));
 }
 
-std::vector<double> Network::Load(const ExchangeState& exchange) const {
+std::vector<double> Network::LoadFigures(const ExchangeState& exchange) const {
   const TimeUs now = runtime_->Now();
   const ProcessorSettings& p = settings_.processor;
   const double wait = exchange.busy_until > now ? static_cast<double>(exchange.busy_until - now) : 0.0;
-  const double full = std::min(1.0, wait / static_cast<double>(p.longest_wait_us));
+  const double queue_share = std::min(1.0, wait / static_cast<double>(p.longest_wait_us));
   if (p.reports == "pending") return {wait / static_cast<double>(p.set_up_us)};
-  if (p.reports == "cut_by") return {full};
+  if (p.reports == "cut_by") return {queue_share};
   if (p.reports == "allowed")
-    return {(1.0 - full) * Warmth(exchange) / exchange.slow * exchange.speed * 1e6 / static_cast<double>(p.set_up_us)};
+    return {(1.0 - queue_share) * CapacityShare(exchange) / exchange.slow * exchange.speed * 1e6 /
+            static_cast<double>(p.set_up_us)};
   return {};
 }
 
-void Network::Work(int number, TimeUs work, std::function<void()> done) {
+void Network::ProcessWork(int number, TimeUs work, std::function<void()> done) {
   ExchangeState& exchange = At(number);
   if (!exchange.alive) return;
   const TimeUs now = runtime_->Now();
-  const double factor = exchange.slow / Warmth(exchange) / exchange.speed;
-  const auto takes = static_cast<TimeUs>(static_cast<double>(work) * factor);
-  exchange.busy_until = std::max({exchange.busy_until, now, exchange.pause_until}) + takes;
-  exchange.worked_us += takes;
+  const double factor = exchange.slow / CapacityShare(exchange) / exchange.speed;
+  const auto duration = static_cast<TimeUs>(static_cast<double>(work) * factor);
+  exchange.busy_until = std::max({exchange.busy_until, now, exchange.pause_until}) + duration;
+  exchange.worked_us += duration;
   if (!done) return;
-  After(exchange.busy_until - now, [this, number, incarnation = exchange.incarnation, done = std::move(done)] {
+  Schedule(exchange.busy_until - now, [this, number, incarnation = exchange.incarnation, done = std::move(done)] {
     const ExchangeState& at = At(number);
     if (at.alive && !at.hung && at.incarnation == incarnation) done();
   });
 }
 
-void Network::CountCold(ExchangeState& exchange, TimeUs work) {
+void Network::TrackWarmUpLoad(ExchangeState& exchange, TimeUs work) {
   const ProcessorSettings& p = settings_.processor;
-  const double warmth = Warmth(exchange);
-  if (warmth >= 1.0 || p.fall_multiple <= 0.0) return;
+  const double capacity_share = CapacityShare(exchange);
+  if (capacity_share >= 1.0 || p.fall_multiple <= 0.0) return;
   const TimeUs now = runtime_->Now();
-  exchange.cold_work.emplace_back(now, work);
-  while (exchange.cold_work.front().first + p.fall_us < now) exchange.cold_work.pop_front();
+  exchange.warm_up_work.emplace_back(now, work);
+  while (exchange.warm_up_work.front().first + p.fall_us < now) exchange.warm_up_work.pop_front();
   double sum = 0.0;
-  for (const auto& [at, amount] : exchange.cold_work) sum += static_cast<double>(amount);
-  const double budget = p.fall_multiple * warmth / exchange.slow * exchange.speed * static_cast<double>(p.fall_us);
-  // Some slack for chance: a budget of less than a few set-ups is not spent by two that happen to meet.
+  for (const auto& [at, amount] : exchange.warm_up_work) sum += static_cast<double>(amount);
+  const double budget =
+      p.fall_multiple * capacity_share / exchange.slow * exchange.speed * static_cast<double>(p.fall_us);
+  // A margin of two set-ups: where the budget is only a few set-ups, two that arrive together must not exceed it.
   if (sum <= budget + 2.0 * static_cast<double>(p.set_up_us)) return;
   trace_->Fact("fell-over", {{"exchange", exchange.number}});
   Kill(exchange.number);
   exchange.fell_over = true;
 }
 
-// ---- circuits ----
+// ---- Circuits ----
 
 bool Network::Seize(int number, const CircuitId& id, const SetUpInfo& info) {
   std::vector<unsigned> all{id.circuit};
-  all.insert(all.end(), info.others.begin(), info.others.end());
+  all.insert(all.end(), info.additional_circuits.begin(), info.additional_circuits.end());
   for (const unsigned circuit : all) {
     Circuit* at = Find(number, {id.far, circuit});
-    if (at == nullptr || at->blocked || EndOf(*at, number, id.far).use != Use::kIdle) return false;
+    if (at == nullptr || at->blocked || EndOf(*at, number, id.far).state != EndState::kIdle) return false;
   }
   const std::uint64_t seizure = next_seizure_++;
   for (const unsigned circuit : all) {
     End& end = EndOf(*Find(number, {id.far, circuit}), number, id.far);
     end = End{};
-    end.use = Use::kOut;
-    end.told = true;
+    end.state = EndState::kSeizedOut;
+    end.user_notified = true;
     end.seizure = seizure;
   }
-  EndOf(*Find(number, id), number, id.far).others = info.others;
-  const auto leave = [this, number, id, seizure, info] {
-    After(Way(number, id.far),
-          [this, number, id, seizure, info] { ArriveSeizure(number, id.far, id.circuit, seizure, info); });
+  EndOf(*Find(number, id), number, id.far).additional_circuits = info.additional_circuits;
+  const auto send = [this, number, id, seizure, info] {
+    Schedule(PropagationDelay(number, id.far),
+             [this, number, id, seizure, info] { OnSeizureArrival(number, id.far, id.circuit, seizure, info); });
   };
-  // The way out costs the own processor its part: where the call begins it waits for it; in transit that was paid on
+  // Outgoing processing: at the originating exchange the set-up waits for it; a transit call was already charged on
   // arrival.
   const ProcessorSettings& p = settings_.processor;
   if (p.out_us == 0 || info.origin != number) {
-    Work(number, p.out_us == 0 ? p.follow_us : p.look_us, {});
-    leave();
+    ProcessWork(number, p.out_us == 0 ? p.follow_us : p.look_us, {});
+    send();
   } else {
-    Work(number, p.out_us, leave);
+    ProcessWork(number, p.out_us, send);
   }
   return true;
 }
 
-void Network::ArriveSeizure(int from, int to, unsigned circuit, std::uint64_t seizure, const SetUpInfo& info) {
+void Network::OnSeizureArrival(int from, int to, unsigned circuit, std::uint64_t seizure, const SetUpInfo& info) {
   const CircuitId here{from, circuit};
-  // Let go on the way already?
+  // Released while the seizure was in transmission.
   if (EndOf(*Find(from, {to, circuit}), from, to).seizure != seizure) return;
   std::vector<unsigned> all{circuit};
-  all.insert(all.end(), info.others.begin(), info.others.end());
+  all.insert(all.end(), info.additional_circuits.begin(), info.additional_circuits.end());
   for (const unsigned each : all) {
     const CircuitId id{from, each};
     End& end = EndOf(*Find(to, id), to, from);
-    if (end.use == Use::kIdle || end.use == Use::kReleasing) continue;
-    // Glare. The lower-numbered exchange keeps the circuit: its seizure is on its way and will be told to the other.
+    if (end.state == EndState::kIdle || end.state == EndState::kReleasing) continue;
+    // Glare. The lower-numbered exchange keeps the circuit: its own seizure is in transmission to the other end.
     if (to < from) return;
-    // Ours is lost: who holds it here lets go, then the seizure is told.
+    // This end loses the circuit: its user releases it, then the far end's seizure is delivered.
     end.far_released = true;
-    end.after_glare = [this, from, to, circuit, seizure, info] { ArriveSeizure(from, to, circuit, seizure, info); };
+    end.deferred_seizure = [this, from, to, circuit, seizure, info] {
+      OnSeizureArrival(from, to, circuit, seizure, info);
+    };
     return At(to).user->OnRelease(id, {44, to, 0, {}});
   }
   for (const unsigned each : all) {
     End& end = EndOf(*Find(to, {from, each}), to, from);
     end = End{};
-    end.use = Use::kIn;
+    end.state = EndState::kSeizedIn;
     end.seizure = seizure;
   }
   ExchangeState& exchange = At(to);
   const ProcessorSettings& p = settings_.processor;
-  if (!exchange.alive) return TurnAway(to, here, {27, to, 0, {}});
+  if (!exchange.alive) return RejectSetUp(to, here, {27, to, 0, {}});
   if (exchange.hung) return;
   const TimeUs now = runtime_->Now();
   const TimeUs wait = exchange.busy_until > now ? exchange.busy_until - now : 0;
   ++exchange.set_ups;
-  CountCold(exchange, p.set_up_us);
-  if (!exchange.alive) return TurnAway(to, here, {27, to, 0, {}});
+  TrackWarmUpLoad(exchange, p.set_up_us);
+  if (!exchange.alive) return RejectSetUp(to, here, {27, to, 0, {}});
   if (wait > p.longest_wait_us) {
-    ++exchange.turned_away;
-    return Work(to, p.reject_us, [this, to, here, wait, &exchange] {
-      TurnAway(to, here, {42, to, settings_.processor.tells_wait ? wait : 0, Load(exchange)});
+    ++exchange.rejected;
+    return ProcessWork(to, p.reject_us, [this, to, here, wait, &exchange] {
+      RejectSetUp(to, here, {42, to, settings_.processor.tells_wait ? wait : 0, LoadFigures(exchange)});
     });
   }
   TimeUs work = p.set_up_us;
   for (TimeUs gap = p.repeat_us, at = gap; gap > 0 && at < wait; gap *= 2, at += gap) work += p.reject_us;
-  Work(to, work, [this, to, from, here, seizure, info] {
-    // It may have been given up while it waited; the work was done all the same.
+  ProcessWork(to, work, [this, to, from, here, seizure, info] {
+    // The set-up may have been released while it was queued; it was processed all the same.
     End& end = EndOf(*Find(to, here), to, from);
-    if (end.seizure != seizure || end.use != Use::kIn || end.far_released) return;
-    end.told = true;
-    for (const unsigned other : info.others) EndOf(*Find(to, {from, other}), to, from).told = true;
+    if (end.seizure != seizure || end.state != EndState::kSeizedIn || end.far_released) return;
+    end.user_notified = true;
+    for (const unsigned other : info.additional_circuits)
+      EndOf(*Find(to, {from, other}), to, from).user_notified = true;
     At(to).user->OnSeizure(here, info);
   });
 }
 
-// The exchange itself, not its user, answers a seizure with a release.
-void Network::TurnAway(int number, const CircuitId& id, const ReleaseNews& news) {
+// The exchange rejects a seizure without involving its user.
+void Network::RejectSetUp(int number, const CircuitId& id, const ReleaseDetails& details) {
   const Circuit* circuit = Find(number, id);
-  const std::vector<unsigned> others = circuit->ends[number < id.far ? 1 : 0].others;
-  Release(number, id, news);
-  for (const unsigned other : others) Release(number, {id.far, other}, news);
+  const std::vector<unsigned> additional_circuits = circuit->ends[number < id.far ? 1 : 0].additional_circuits;
+  Release(number, id, details);
+  for (const unsigned other : additional_circuits) Release(number, {id.far, other}, details);
 }
 
 void Network::Answer(int number, const CircuitId& id) {
   Circuit* circuit = Find(number, id);
-  if (circuit == nullptr || EndOf(*circuit, number, id.far).use != Use::kIn) return;
+  if (circuit == nullptr || EndOf(*circuit, number, id.far).state != EndState::kSeizedIn) return;
   const std::uint64_t seizure = EndOf(*circuit, number, id.far).seizure;
-  Work(number, settings_.processor.follow_us, [this, number, id, seizure] {
-    After(Way(number, id.far), [this, number, id, seizure] {
-      Work(id.far, settings_.processor.follow_us, [this, number, id, seizure] {
+  ProcessWork(number, settings_.processor.follow_us, [this, number, id, seizure] {
+    Schedule(PropagationDelay(number, id.far), [this, number, id, seizure] {
+      ProcessWork(id.far, settings_.processor.follow_us, [this, number, id, seizure] {
         const CircuitId there{number, id.circuit};
         const End& end = EndOf(*Find(id.far, there), id.far, number);
-        if (end.seizure == seizure && end.use == Use::kOut && !end.far_released) At(id.far).user->OnAnswer(there);
+        if (end.seizure == seizure && end.state == EndState::kSeizedOut && !end.far_released)
+          At(id.far).user->OnAnswer(there);
       });
     });
   });
 }
 
-void Network::Release(int number, const CircuitId& id, const ReleaseNews& news) {
+void Network::Release(int number, const CircuitId& id, const ReleaseDetails& details) {
   Circuit* circuit = Find(number, id);
   if (circuit == nullptr) return;
   End& end = EndOf(*circuit, number, id.far);
-  if (end.use == Use::kIdle || (end.use == Use::kReleasing && !end.far_released)) return;
+  if (end.state == EndState::kIdle || (end.state == EndState::kReleasing && !end.far_released)) return;
   const std::uint64_t seizure = end.seizure;
   const CircuitId there{number, id.circuit};
-  // The release that arrived was worked on when it did: what completes it is no work of its own.
-  if (!end.far_released || end.after_glare) Work(number, settings_.processor.follow_us, {});
-  if (end.after_glare) {
-    const auto then = std::move(end.after_glare);
+  // A release that completes one from the far end costs nothing: that one was processed on arrival.
+  if (!end.far_released || end.deferred_seizure) ProcessWork(number, settings_.processor.follow_us, {});
+  if (end.deferred_seizure) {
+    const auto then = std::move(end.deferred_seizure);
     end = End{};
     return then();
   }
   if (end.far_released) {
-    // The other end let go first: this completes it, and the other end hears so.
+    // The far end released first: this completes the release, and the far end is notified.
     end = End{};
-    After(Way(number, id.far), [this, id, there, seizure] {
+    Schedule(PropagationDelay(number, id.far), [this, id, there, seizure] {
       End& far = EndOf(*Find(id.far, there), id.far, there.far);
-      if (far.use != Use::kReleasing || far.seizure != seizure) return;
+      if (far.state != EndState::kReleasing || far.seizure != seizure) return;
       far = End{};
       At(id.far).user->OnReleaseComplete(there);
     });
     return;
   }
-  end.use = Use::kReleasing;
-  After(Way(number, id.far), [this, id, there, seizure, news] { ArriveRelease(id.far, there, seizure, news); });
+  end.state = EndState::kReleasing;
+  Schedule(PropagationDelay(number, id.far),
+           [this, id, there, seizure, details] { OnReleaseArrival(id.far, there, seizure, details); });
 }
 
-void Network::ArriveRelease(int to, const CircuitId& here, std::uint64_t seizure, const ReleaseNews& news) {
+void Network::OnReleaseArrival(int to, const CircuitId& here, std::uint64_t seizure, const ReleaseDetails& details) {
   End& end = EndOf(*Find(to, here), to, here.far);
   if (end.seizure != seizure) {
-    // The seizure never got here (lost to a dead exchange, or let go on the way): the near end alone holds it.
+    // The seizure never arrived here (the exchange was down, or the far end released it during transmission): only the
+    // far end holds the circuit.
     const CircuitId there{to, here.circuit};
-    After(Way(to, here.far), [this, here, there, seizure] {
+    Schedule(PropagationDelay(to, here.far), [this, here, there, seizure] {
       End& near = EndOf(*Find(here.far, there), here.far, there.far);
-      if (near.use != Use::kReleasing || near.seizure != seizure) return;
+      if (near.state != EndState::kReleasing || near.seizure != seizure) return;
       near = End{};
       At(here.far).user->OnReleaseComplete(there);
     });
     return;
   }
-  if (end.use == Use::kReleasing) {
-    // Both let go at once: each hears of the other's release, and that completes both.
+  if (end.state == EndState::kReleasing) {
+    // Both ends released at the same time: each receives the other's release, which completes its own.
     end = End{};
     At(to).user->OnReleaseComplete(here);
     return;
   }
-  if (end.use == Use::kIdle) return;
+  if (end.state == EndState::kIdle) return;
   end.far_released = true;
-  Work(to, settings_.processor.follow_us, {});
-  TellRelease(to, here, news);
+  ProcessWork(to, settings_.processor.follow_us, {});
+  NotifyRelease(to, here, details);
 }
 
-void Network::TellRelease(int number, const CircuitId& id, const ReleaseNews& news) {
-  if (EndOf(*Find(number, id), number, id.far).told) return At(number).user->OnRelease(id, news);
-  Release(number, id, news);
+void Network::NotifyRelease(int number, const CircuitId& id, const ReleaseDetails& details) {
+  if (EndOf(*Find(number, id), number, id.far).user_notified) return At(number).user->OnRelease(id, details);
+  Release(number, id, details);
 }
 
 void Network::Probe(int from, int number, std::function<void(std::vector<double>)> done) {
-  const TimeUs way = Way(from, number);
-  After(way, [this, number, way, done = std::move(done)] {
-    Work(number, settings_.processor.probe_us,
-         [this, number, way, done] { After(way, [this, number, done] { done(Load(At(number))); }); });
+  const TimeUs delay = PropagationDelay(from, number);
+  Schedule(delay, [this, number, delay, done = std::move(done)] {
+    ProcessWork(number, settings_.processor.probe_us, [this, number, delay, done] {
+      Schedule(delay, [this, number, done] { done(LoadFigures(At(number))); });
+    });
   });
 }
 
-// ---- troubles ----
+// ---- Fault injection ----
 
-void Network::CutEnd(int number, const CircuitId& id, int cause) {
+void Network::DisconnectEnd(int number, const CircuitId& id, int cause) {
   Circuit* circuit = Find(number, id);
   End& end = EndOf(*circuit, number, id.far);
-  if (end.use != Use::kOut && end.use != Use::kIn) return;
-  ++cut_;
+  if (end.state != EndState::kSeizedOut && end.state != EndState::kSeizedIn) return;
+  ++disconnected_ends_;
   end.far_released = true;
-  TellRelease(number, id, {cause, number, 0, {}});
+  NotifyRelease(number, id, {cause, number, 0, {}});
 }
 
 void Network::Kill(int number) {
@@ -328,13 +339,13 @@
   exchange.alive = false;
   exchange.busy_until = 0;
   trace_->Fact("down", {{"exchange", number}});
-  // Both ends of everything that touches it are cut; each end hears of it as a release by the other.
+  // Calls on all circuits of the exchange are disconnected; each end sees this as a release by the far end.
   for (auto& [pair, circuits] : groups_) {
     if (pair.first != number && pair.second != number) continue;
     const int far = pair.first == number ? pair.second : pair.first;
     for (unsigned i = 0; i < circuits.size(); ++i) {
-      CutEnd(number, {far, i}, 41);
-      After(Way(number, far), [this, number, far, i] { CutEnd(far, {number, i}, 41); });
+      DisconnectEnd(number, {far, i}, 41);
+      Schedule(PropagationDelay(number, far), [this, number, far, i] { DisconnectEnd(far, {number, i}, 41); });
     }
   }
 }
@@ -346,7 +357,7 @@
   exchange.hung = false;
   ++exchange.incarnation;
   exchange.started_us = runtime_->Now();
-  exchange.cold_work.clear();
+  exchange.warm_up_work.clear();
   const ProcessorSettings& p = settings_.processor;
   trace_->Fact("cold-start",
                {{"exchange", number},
@@ -357,7 +368,7 @@
                 {"fall_ms", p.fall_us / 1000}});
 }
 
-void Network::CutCircuits(int zone, const std::vector<int>& among, double keep) {
+void Network::FailCircuits(int zone, const std::vector<int>& among, double keep) {
   const auto listed = [&](int number) { return std::find(among.begin(), among.end(), number) != among.end(); };
   for (auto& [pair, circuits] : groups_) {
     const bool hit = among.empty() ? (At(pair.first).zone == zone) != (At(pair.second).zone == zone)
@@ -365,15 +376,15 @@
     if (!hit) continue;
     const auto kept = static_cast<unsigned>(std::ceil(keep * static_cast<double>(circuits.size())));
     for (unsigned i = kept; i < circuits.size(); ++i) {
-      CutEnd(pair.first, {pair.second, i}, 41);
-      CutEnd(pair.second, {pair.first, i}, 41);
-      Block(pair, i, true);
+      DisconnectEnd(pair.first, {pair.second, i}, 41);
+      DisconnectEnd(pair.second, {pair.first, i}, 41);
+      SetBlocked(pair, i, true);
     }
   }
 }
 
-// Both ends see it alike, as the loss of a whole bundle is seen at once by the equipment at either end.
-void Network::Block(const Pair& pair, unsigned circuit, bool blocked) {
+// Both ends see the change at once, as the equipment at either end detects the failure of a transmission system.
+void Network::SetBlocked(const Pair& pair, unsigned circuit, bool blocked) {
   Circuit& at = groups_.at(pair)[circuit];
   if (at.blocked == blocked) return;
   at.blocked = blocked;
@@ -385,7 +396,7 @@
 void Network::RestoreCircuits() {
   for (auto& [pair, circuits] : groups_) {
     for (unsigned i = 0; i < circuits.size(); ++i) {
-      if (circuits[i].blocked) Block(pair, i, false);
+      if (circuits[i].blocked) SetBlocked(pair, i, false);
     }
   }
 }
--- a/src/lab/network.h
+++ b/src/lab/network.h
@@ -1,8 +1,9 @@
-// The network that the stand-ins form: exchanges with a processor each, and circuits wired end to end.
+// Network model of the emulator: exchanges with one processor each, and the trunk circuits between them.
 //
-// A circuit has two ends. What is done at one end reaches the other after the way between the exchanges, and there
-// passes the exchange's processor: one line of work, slow or cold or dead as the scenario has it. Whoever controls an
-// end (a gateway under a real edge, or an emulated exchange) is a CircuitUser.
+// A circuit has two ends. A signal sent at one end arrives at the other after the propagation delay between the
+// exchanges and is then processed by the processor there, a single server with a first-in, first-out queue that is
+// slow, warming up or down as the scenario defines it. Each end is controlled by a CircuitUser: a simulated gateway
+// whose call agent is a real edge, or an emulated exchange.
 #ifndef CROFTRUN_LAB_NETWORK_H_
 #define CROFTRUN_LAB_NETWORK_H_
 
@@ -20,82 +21,92 @@
 
 namespace croftrun::lab {
 
-// What travels with a seizure.
+// The parameters of a seizure.
 struct SetUpInfo {
   std::string called, calling, call_class;
   int origin = -1;
-  int destination = -1;  // read off the number by the laboratory's own plan
-  TimeUs patience_us = 0;
-  std::vector<unsigned> others;  // further circuits of a wide call
+  int destination = -1;  // derived from the called number
+  TimeUs caller_timeout_us = 0;
+  std::vector<unsigned> additional_circuits;  // further circuits, if the call needs more than one
 };
 
-// What travels with a release; causes as in ITU-T Q.850.
-struct ReleaseNews {
-  int cause = 16;
-  int at = -1;
-  TimeUs wait_us = 0;
-  std::vector<double> load;
+// The parameters of a release.
+struct ReleaseDetails {
+  int cause = 16;            // ITU-T Q.850
+  int exchange = -1;         // the exchange that released the call
+  TimeUs wait_us = 0;        // its queueing delay; 0: not reported
+  std::vector<double> load;  // its load figures
 };
 
+// A circuit as seen from one of its ends.
 struct CircuitId {
   int far = -1;  // number of the exchange at the other end
   unsigned circuit = 0;
   friend auto operator<=>(const CircuitId&, const CircuitId&) = default;
 };
 
+// Receives the signals that arrive at an exchange's circuit ends.
 class CircuitUser {
  public:
   virtual ~CircuitUser() = default;
   virtual void OnSeizure(const CircuitId& circuit, const SetUpInfo& info) = 0;
   virtual void OnAnswer(const CircuitId& circuit) = 0;
-  virtual void OnRelease(const CircuitId& circuit, const ReleaseNews& news) = 0;
+  virtual void OnRelease(const CircuitId& circuit, const ReleaseDetails& details) = 0;
   virtual void OnReleaseComplete(const CircuitId& circuit) = 0;
-  // The circuit is lost to both ends, or is there again; what was on it was cut before.
+  // The circuit was blocked at both ends or is available again. A call on it was disconnected before.
   virtual void OnBlocked(const CircuitId&, bool) {}
 };
 
+// Processing times and overload behaviour of the exchanges' processors.
 struct ProcessorSettings {
-  TimeUs set_up_us = 5'000;  // work of a set-up
-  TimeUs out_us = 0;         // of a set-up where the call begins: it leaves when that is done; 0: follow_us, at once
-  TimeUs look_us = 0;        // of looking at a call that is offered, also if it is refused
-  std::vector<double> speed_of;  // of each exchange, in these figures; empty: 1
+  TimeUs set_up_us = 5'000;  // processing time of an incoming set-up
+  // Of a set-up at the originating exchange, which is sent when the processing is done. 0: it takes follow_us and is
+  // sent immediately.
+  TimeUs out_us = 0;
+  TimeUs look_us = 0;            // of an offered call, including calls that are then refused
+  std::vector<double> speed_of;  // speed factor of each exchange; empty: 1
   TimeUs follow_us = 1'000;      // of an answer or a release
-  TimeUs reject_us = 500;        // of turning a set-up away
+  TimeUs reject_us = 500;        // of a rejected set-up
   TimeUs probe_us = 300;
-  TimeUs longest_wait_us = 2'000'000;  // past it, set-ups are turned away
-  TimeUs repeat_us = 0;                // a waiting set-up is sent again after this, then at doubling gaps: work each
-  double cold_from = 0.3;              // share of its capacity at a cold start
+  TimeUs longest_wait_us = 2'000'000;  // set-ups are rejected while the queueing delay is longer
+  // Interval until a queued set-up is retransmitted, doubled each time; every copy costs reject_us. 0: never.
+  TimeUs repeat_us = 0;
+  double cold_from = 0.3;  // share of the capacity available at a cold start
   TimeUs warm_up_us = 10'000'000;
-  double fall_multiple = 3.0;  // set-ups of over this multiple of what it can do at that moment ...
-  TimeUs fall_us = 1'000'000;  // ... for this long push a cold one over
-  bool tells_wait = false;
-  std::string reports;  // "", "allowed", "cut_by" or "pending": one figure, in answers and probes
+  // An exchange that is warming up fails if the set-ups that arrive within fall_us exceed this multiple of the work
+  // that it can do in that time.
+  double fall_multiple = 3.0;
+  TimeUs fall_us = 1'000'000;
+  bool tells_wait = false;  // rejections carry the queueing delay
+  std::string reports;      // load figure in rejections and probe responses: "", "allowed", "cut_by" or "pending"
 };
 
+// State of an exchange and its processor.
 struct ExchangeState {
   int number = 0;
   int zone = 0;
   bool alive = true;
   bool hung = false;
-  double slow = 1.0;   // by a trouble
-  double speed = 1.0;  // its own
+  double slow = 1.0;   // slowdown factor by fault injection
+  double speed = 1.0;  // its own speed factor
   TimeUs pause_until = 0;
   std::uint32_t incarnation = 0;
-  TimeUs started_us = 0;  // of a cold start; 0: warm
+  TimeUs started_us = 0;  // time of the last cold start; 0: none, at full capacity
   bool fell_over = false;
   TimeUs busy_until = 0;
-  std::deque<std::pair<TimeUs, TimeUs>> cold_work;  // arrived while cold: when, how much
+  std::deque<std::pair<TimeUs, TimeUs>> warm_up_work;  // work that arrived during the warm-up: time and amount
   CircuitUser* user = nullptr;
-  // Figures for the report.
-  std::uint64_t set_ups = 0, turned_away = 0, worked_us = 0;
+  // Counters; worked_us is the total processing time.
+  std::uint64_t set_ups = 0, rejected = 0, worked_us = 0;
 };
 
 struct NetworkSettings {
-  std::vector<int> zones;                // of exchange 0, 1, ...
-  TimeUs near_us = 200, far_us = 8'000;  // one way, inside a zone and between
+  std::vector<int> zones;                // by exchange
+  TimeUs near_us = 200, far_us = 8'000;  // propagation delay inside a zone and between zones
   ProcessorSettings processor;
 };
 
+// Simulates the exchanges and circuits on the timers of a Runtime.
 class Network {
  public:
   Network(core::Runtime* runtime, Trace* trace, const NetworkSettings& settings);
@@ -108,49 +119,52 @@
   void AddGroup(int a, int b, unsigned circuits);
   unsigned Circuits(int a, int b) const;
 
-  // ---- at one end, by whoever controls it ----
-  // False if any of the circuits is not idle at this end; then nothing was seized.
+  // ---- Signals sent by the user of a circuit end ----
+  // Seizes the circuit and the additional circuits of the call. Returns false, without any effect, if one of them is
+  // not idle at this end.
   bool Seize(int number, const CircuitId& circuit, const SetUpInfo& info);
   void Answer(int number, const CircuitId& circuit);
-  void Release(int number, const CircuitId& circuit, const ReleaseNews& news);
-  // "idle", "seized", "seized-in" (by the far end), "far-released" (which let go first), "releasing" or "blocked".
+  void Release(int number, const CircuitId& circuit, const ReleaseDetails& details);
+  // "idle", "seized" (by this end), "seized-in" (by the far end), "far-released" (the far end released first),
+  // "releasing" or "blocked".
   std::string_view State(int number, const CircuitId& circuit) const;
   bool Idle(int number, const CircuitId& circuit) const { return State(number, circuit) == "idle"; }
-  // An idle circuit towards `far`, from this end's side of the group; false if there is none.
+  // Finds an idle circuit towards `far`. The two ends hunt from opposite sides of the group, which makes glare rare.
+  // Returns false if there is none.
   bool PickIdle(int number, int far, CircuitId* circuit) const;
-  // A call is offered at this exchange.
-  void Look(int number) {
-    if (settings_.processor.look_us > 0) Work(number, settings_.processor.look_us, {});
+  // Charges the processor for a call that is offered at this exchange.
+  void ProcessOfferedCall(int number) {
+    if (settings_.processor.look_us > 0) ProcessWork(number, settings_.processor.look_us, {});
   }
-  // What is waiting at its processor now.
-  TimeUs Wait(int number) const;
-  // Circuits between the two that both ends hold for idle.
+  // The current queueing delay of the exchange's processor.
+  TimeUs QueueDelay(int number) const;
+  // The number of circuits between two exchanges that are idle at both ends.
   unsigned IdleBetween(int a, int b) const;
-  // Work at the processor of `number` on behalf of a probe from `from`; `done` gets the load figures after the way
-  // there and back, or never.
+  // Probes exchange `number` from `from`. `done` receives the load figures after the round trip, or is never called if
+  // the exchange does not respond.
   void Probe(int from, int number, std::function<void(std::vector<double>)> done);
 
-  // ---- troubles ----
-  void Kill(int number);   // its processor dies; what touches it is cut
-  void Start(int number);  // back, cold
-  // Groups among these exchanges keep this share of their circuits; with none listed, those between `zone` and the
-  // others.
-  void CutCircuits(int zone, const std::vector<int>& among, double keep);
+  // ---- Fault injection ----
+  void Kill(int number);   // the processor fails and all calls on its circuits are disconnected
+  void Start(int number);  // restarts it, warming up
+  // Leaves the share `keep` of the circuits of each group among the listed exchanges; if none are listed, of each group
+  // between `zone` and the other zones.
+  void FailCircuits(int zone, const std::vector<int>& among, double keep);
   void RestoreCircuits();
 
-  TimeUs Way(int a, int b) const;
-  // Calls lost with the processor or circuits.
-  std::uint64_t cut() const { return cut_; }
+  TimeUs PropagationDelay(int a, int b) const;
+  // Circuit ends whose call was disconnected by a processor or circuit failure.
+  std::uint64_t disconnected_ends() const { return disconnected_ends_; }
 
  private:
-  enum class Use { kIdle, kOut, kIn, kReleasing };
+  enum class EndState { kIdle, kSeizedOut, kSeizedIn, kReleasing };
   struct End {
-    Use use = Use::kIdle;
+    EndState state = EndState::kIdle;
     bool far_released = false;
-    bool told = false;          // kIn: the user knows of it
-    std::uint64_t seizure = 0;  // which seizure this use belongs to
-    std::vector<unsigned> others;
-    std::function<void()> after_glare;  // the far end's seizure, told once ours is let go
+    bool user_notified = false;  // kSeizedIn: the user has been notified of the seizure
+    std::uint64_t seizure = 0;   // identifies the seizure that the state belongs to
+    std::vector<unsigned> additional_circuits;
+    std::function<void()> deferred_seizure;  // the far end's seizure, delivered once this end has released its own
   };
   struct Circuit {
     End ends[2];  // [0]: of the lower-numbered exchange
@@ -161,19 +175,20 @@
   Circuit* Find(int number, const CircuitId& circuit);
   const Circuit* Find(int number, const CircuitId& circuit) const;
   static End& EndOf(Circuit& circuit, int number, int far) { return circuit.ends[number < far ? 0 : 1]; }
-  void After(TimeUs delay, std::function<void()> what);
-  double Warmth(const ExchangeState& exchange) const;
-  std::vector<double> Load(const ExchangeState& exchange) const;
-  // Puts work in line; `done` runs when it is through, unless the exchange hangs, dies or restarts before.
-  void Work(int number, TimeUs work, std::function<void()> done);
-  void ArriveSeizure(int from, int to, unsigned circuit, std::uint64_t seizure, const SetUpInfo& info);
-  void ArriveRelease(int to, const CircuitId& circuit, std::uint64_t seizure, const ReleaseNews& news);
-  void TurnAway(int number, const CircuitId& circuit, const ReleaseNews& news);
-  void CountCold(ExchangeState& exchange, TimeUs work);
-  // Tells the user of an end that the far end let go; an end it never heard of is completed for it.
-  void TellRelease(int number, const CircuitId& id, const ReleaseNews& news);
-  void CutEnd(int number, const CircuitId& circuit, int cause);
-  void Block(const Pair& pair, unsigned circuit, bool blocked);
+  void Schedule(TimeUs delay, std::function<void()> callback);
+  double CapacityShare(const ExchangeState& exchange) const;
+  std::vector<double> LoadFigures(const ExchangeState& exchange) const;
+  // Queues work at a processor. `done` runs when it is complete, unless the exchange hangs, fails or restarts before.
+  void ProcessWork(int number, TimeUs work, std::function<void()> done);
+  void OnSeizureArrival(int from, int to, unsigned circuit, std::uint64_t seizure, const SetUpInfo& info);
+  void OnReleaseArrival(int to, const CircuitId& circuit, std::uint64_t seizure, const ReleaseDetails& details);
+  void RejectSetUp(int number, const CircuitId& circuit, const ReleaseDetails& details);
+  void TrackWarmUpLoad(ExchangeState& exchange, TimeUs work);
+  // Notifies the user of an end that the far end has released. If the user was not notified of the seizure, completes
+  // the release in its place.
+  void NotifyRelease(int number, const CircuitId& id, const ReleaseDetails& details);
+  void DisconnectEnd(int number, const CircuitId& circuit, int cause);
+  void SetBlocked(const Pair& pair, unsigned circuit, bool blocked);
 
   core::Runtime* runtime_;
   Trace* trace_;
@@ -181,8 +196,9 @@
   std::vector<ExchangeState> exchanges_;
   std::map<Pair, std::vector<Circuit>> groups_;
   std::uint64_t next_seizure_ = 1;
-  std::uint64_t cut_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // work in flight ends with the network
+  std::uint64_t disconnected_ends_ = 0;
+  // False once the network is destroyed: timers that are still pending then do nothing.
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace croftrun::lab
--- a/src/lab/path.cpp
+++ b/src/lab/path.cpp
@@ -4,16 +4,20 @@
 
 namespace croftrun::lab {
 
-// Records on the near side of the faults: what an edge sent counts as sent though it is then lost.
+// Records datagrams on the edge's side of the impairments: a datagram that an edge sent is recorded as sent even if it
+// is lost afterwards.
 class Path::Port final : public core::DatagramPort, public core::DatagramHandler {
  public:
-  Port(Path* path, const core::Address& local, core::DatagramHandler* sink)
-      : path_(path), sink_(sink), alive_(std::make_shared<bool>(true)), port_(path->runtime_->OpenPort(local, this)) {}
+  Port(Path* path, const core::Address& local, core::DatagramHandler* handler)
+      : path_(path),
+        handler_(handler),
+        alive_(std::make_shared<bool>(true)),
+        port_(path->runtime_->OpenPort(local, this)) {}
   ~Port() override { *alive_ = false; }
 
   void Send(const core::Address& to, std::string_view bytes) override {
-    if (!path_->faults_.Any()) return Deliver(to, bytes);
-    path_->Carry([this, alive = alive_, to, text = std::string(bytes)] {
+    if (!path_->impairments_.HasAny()) return Deliver(to, bytes);
+    path_->ApplyImpairments([this, alive = alive_, to, text = std::string(bytes)] {
       if (*alive) Deliver(to, text);
     });
   }
@@ -21,9 +25,9 @@
 
   void OnDatagram(const core::Address& from, std::string_view bytes) override {
     path_->trace_->Datagram(from, Local(), bytes);
-    if (!path_->faults_.Any()) return sink_->OnDatagram(from, bytes);
-    path_->Carry([this, alive = alive_, from, text = std::string(bytes)] {
-      if (*alive) sink_->OnDatagram(from, text);
+    if (!path_->impairments_.HasAny()) return handler_->OnDatagram(from, bytes);
+    path_->ApplyImpairments([this, alive = alive_, from, text = std::string(bytes)] {
+      if (*alive) handler_->OnDatagram(from, text);
     });
   }
 
@@ -34,21 +38,22 @@
   }
 
   Path* path_;
-  core::DatagramHandler* sink_;
-  std::shared_ptr<bool> alive_;  // datagrams held back may come due after the port is gone
+  core::DatagramHandler* handler_;
+  std::shared_ptr<bool> alive_;  // delayed datagrams may be delivered after the port was closed
   std::unique_ptr<core::DatagramPort> port_;
 };
 
-std::unique_ptr<core::DatagramPort> Path::OpenPort(const core::Address& local, core::DatagramHandler* sink) {
-  return std::make_unique<Port>(this, local, sink);
+std::unique_ptr<core::DatagramPort> Path::OpenPort(const core::Address& local, core::DatagramHandler* handler) {
+  return std::make_unique<Port>(this, local, handler);
 }
 
-void Path::Carry(std::function<void()> deliver) {
-  if (Unit() < faults_.loss) return;
-  const int copies = Unit() < faults_.doubled ? 2 : 1;
+void Path::ApplyImpairments(std::function<void()> deliver) {
+  if (UniformRandom() < impairments_.loss) return;
+  const int copies = UniformRandom() < impairments_.duplicated ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    if (Unit() < faults_.late) {
-      runtime_->StartTimer(static_cast<TimeUs>(Unit() * static_cast<double>(faults_.late_us)), deliver);
+    if (UniformRandom() < impairments_.delayed) {
+      runtime_->StartTimer(static_cast<TimeUs>(UniformRandom() * static_cast<double>(impairments_.max_delay_us)),
+                           deliver);
     } else {
       deliver();
     }
--- a/src/lab/path.h
+++ b/src/lab/path.h
@@ -1,5 +1,5 @@
-// The path between the laboratory and the edges: a Runtime that records every datagram and does to it what networks
-// do (loss, doubling, delay, overtaking), by chance from a seed.
+// Path impairment between the emulated network and the edges: a Runtime that records every datagram in the trace and
+// subjects it to random loss, duplication, delay and reordering, reproducible from a seed.
 #ifndef CROFTRUN_LAB_PATH_H_
 #define CROFTRUN_LAB_PATH_H_
 
@@ -11,14 +11,16 @@
 
 namespace croftrun::lab {
 
-struct PathFaults {
-  double loss = 0.0;  // shares of datagrams
-  double doubled = 0.0;
-  double late = 0.0;  // held back by a chance delay of up to late_us, and so overtaken
-  TimeUs late_us = 0;
-  bool Any() const { return loss > 0.0 || doubled > 0.0 || late > 0.0; }
+// Impairments as probabilities per datagram.
+struct PathImpairments {
+  double loss = 0.0;
+  double duplicated = 0.0;
+  double delayed = 0.0;  // delayed by a uniform random time of up to max_delay_us; later datagrams can overtake it
+  TimeUs max_delay_us = 0;
+  bool HasAny() const { return loss > 0.0 || duplicated > 0.0 || delayed > 0.0; }
 };
 
+// Runtime decorator: timers and clocks pass through, ports are impaired.
 class Path final : public core::Runtime {
  public:
   Path(core::Runtime* runtime, Trace* trace, std::uint64_t seed) : runtime_(runtime), trace_(trace), random_(seed) {}
@@ -29,21 +31,22 @@
     return runtime_->StartTimer(delay, std::move(due));
   }
   void CancelTimer(core::TimerId timer) override { runtime_->CancelTimer(timer); }
-  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* sink) override;
+  std::unique_ptr<core::DatagramPort> OpenPort(const core::Address& local, core::DatagramHandler* handler) override;
   std::uint64_t Random() override { return random_(); }
 
-  void SetFaults(const PathFaults& faults) { faults_ = faults; }
+  // Applies to datagrams sent or received from now on.
+  void SetImpairments(const PathImpairments& impairments) { impairments_ = impairments; }
 
  private:
   class Port;
-  // How often, and when, a datagram arrives: calls `deliver` now or later, any number of times.
-  void Carry(std::function<void()> deliver);
-  double Unit() { return static_cast<double>(random_() >> 11U) * 0x1.0p-53; }
+  // Calls `deliver` zero, one or two times, immediately or after a delay, according to the impairments in force.
+  void ApplyImpairments(std::function<void()> deliver);
+  double UniformRandom() { return static_cast<double>(random_() >> 11U) * 0x1.0p-53; }
 
   core::Runtime* runtime_;
   Trace* trace_;
   std::mt19937_64 random_;
-  PathFaults faults_;
+  PathImpairments impairments_;
 };
 
 }  // namespace croftrun::lab
--- a/src/lab/roster_server.cpp
+++ b/src/lab/roster_server.cpp
@@ -5,60 +5,60 @@
 
 namespace croftrun::lab {
 
-RosterServer::RosterServer(core::Runtime* runtime, const core::Address& address, TimeUs lag_us)
-    : runtime_(runtime), lag_us_(lag_us), port_(runtime->OpenPort(address, this)) {}
+RosterServer::RosterServer(core::Runtime* runtime, const core::Address& address, TimeUs publication_delay_us)
+    : runtime_(runtime), publication_delay_us_(publication_delay_us), port_(runtime->OpenPort(address, this)) {}
 
-void RosterServer::Begin(std::vector<RosterLine> lines) {
-  for (RosterLine& line : lines) lines_[line.exchange] = line;
+void RosterServer::SetInitialEntries(std::vector<RosterEntry> entries) {
+  for (RosterEntry& entry : entries) entries_[entry.exchange] = entry;
 }
 
-void RosterServer::Change(const RosterLine& line) {
-  // Late, but in order: a shorter lag does not let a later change overtake an earlier one.
+void RosterServer::PublishDelayed(const RosterEntry& entry) {
+  // Changes are delayed but stay in order: a shorter delay does not let a later change overtake an earlier one.
   const TimeUs now = runtime_->Now();
-  last_due_ = std::max(last_due_, now + lag_us_);
-  runtime_->StartTimer(last_due_ - now, [this, alive = alive_, line] {
-    if (*alive) Publish(line);
+  last_publication_at_ = std::max(last_publication_at_, now + publication_delay_us_);
+  runtime_->StartTimer(last_publication_at_ - now, [this, alive = alive_, entry] {
+    if (*alive) Publish(entry);
   });
 }
 
-void RosterServer::Publish(const RosterLine& line) {
-  lines_[line.exchange] = line;
+void RosterServer::Publish(const RosterEntry& entry) {
+  entries_[entry.exchange] = entry;
   ++version_;
-  // Who is one version behind is told the change, who is further behind the whole list.
-  for (auto& [address, have] : subscribers_) {
-    const bool full = have + 1 != version_;
-    std::vector<RosterLine> all;
-    for (const auto& [id, each] : lines_) all.push_back(each);
-    port_->Send(address, Update(full, full ? all : std::vector<RosterLine>{line}));
-    have = version_;
+  // A subscriber that is one version behind receives the change, one that is further behind the whole list.
+  for (auto& [address, known_version] : subscribers_) {
+    const bool full = known_version + 1 != version_;
+    std::vector<RosterEntry> all;
+    for (const auto& [id, each] : entries_) all.push_back(each);
+    port_->Send(address, FormatUpdate(full, full ? all : std::vector<RosterEntry>{entry}));
+    known_version = version_;
   }
-  if (line.status == "gone") lines_.erase(line.exchange);
+  if (entry.status == "gone") entries_.erase(entry.exchange);
 }
 
-std::string RosterServer::Update(bool full, const std::vector<RosterLine>& lines) const {
+std::string RosterServer::FormatUpdate(bool full, const std::vector<RosterEntry>& entries) const {
   nlohmann::json update = {{"version", version_}, {"entries", nlohmann::json::array()}};
   if (!full) update["base"] = version_ - 1;
-  for (const RosterLine& line : lines) {
-    nlohmann::json entry = {
-        {"exchange", line.exchange}, {"number", line.number}, {"zone", line.zone}, {"status", line.status}};
-    if (line.incarnation > 0) {
-      entry["incarnation"] = line.incarnation;
-      entry["age_ms"] = (runtime_->Now() - line.started_us) / 1000;
+  for (const RosterEntry& entry : entries) {
+    nlohmann::json item = {
+        {"exchange", entry.exchange}, {"number", entry.number}, {"zone", entry.zone}, {"status", entry.status}};
+    if (entry.incarnation > 0) {
+      item["incarnation"] = entry.incarnation;
+      item["age_ms"] = (runtime_->Now() - entry.started_us) / 1000;
     }
-    update["entries"].push_back(entry);
+    update["entries"].push_back(item);
   }
   return update.dump();
 }
 
 void RosterServer::OnDatagram(const core::Address& from, std::string_view bytes) {
-  const nlohmann::json ask = nlohmann::json::parse(bytes, nullptr, false);
-  if (!ask.is_object() || ask.value("ask", "") != "roster") return;
-  if (subscribers_.size() >= kMostSubscribers && subscribers_.count(from) == 0) return;
-  const auto have = ask.value("have", std::uint64_t{0});
-  if (have < version_) {
-    std::vector<RosterLine> all;
-    for (const auto& [id, line] : lines_) all.push_back(line);
-    port_->Send(from, Update(true, all));
+  const nlohmann::json request = nlohmann::json::parse(bytes, nullptr, false);
+  if (!request.is_object() || request.value("ask", "") != "roster") return;
+  if (subscribers_.size() >= kMaxSubscribers && subscribers_.count(from) == 0) return;
+  const auto known_version = request.value("have", std::uint64_t{0});
+  if (known_version < version_) {
+    std::vector<RosterEntry> all;
+    for (const auto& [id, entry] : entries_) all.push_back(entry);
+    port_->Send(from, FormatUpdate(true, all));
   }
   subscribers_[from] = version_;
 }
--- a/src/lab/roster_server.h
+++ b/src/lab/roster_server.h
@@ -1,4 +1,5 @@
-// The stand-in roster: knows only which processors run, tells it late, and pushes each change to every subscriber.
+// Stand-in for the roster service: knows only which processors are running, publishes changes with a delay, and pushes
+// each change to every subscriber.
 #ifndef CROFTRUN_LAB_ROSTER_SERVER_H_
 #define CROFTRUN_LAB_ROSTER_SERVER_H_
 
@@ -11,7 +12,8 @@
 
 namespace croftrun::lab {
 
-struct RosterLine {
+// One exchange in the roster.
+struct RosterEntry {
   std::uint32_t exchange = 0;  // id; a replacement has a new one
   int number = 0;
   int zone = 0;
@@ -20,32 +22,33 @@
   TimeUs started_us = 0;
 };
 
+// Serves the roster protocol over UDP.
 class RosterServer final : public core::DatagramHandler {
  public:
-  static constexpr std::size_t kMostSubscribers = 1024;
+  static constexpr std::size_t kMaxSubscribers = 1024;
 
-  RosterServer(core::Runtime* runtime, const core::Address& address, TimeUs lag_us);
+  RosterServer(core::Runtime* runtime, const core::Address& address, TimeUs publication_delay_us);
   ~RosterServer() override { *alive_ = false; }
 
-  // The list as it starts; known at once.
-  void Begin(std::vector<RosterLine> lines);
-  // A change, published after the lag in force now.
-  void Change(const RosterLine& line);
-  void SetLag(TimeUs lag_us) { lag_us_ = lag_us; }
-  TimeUs lag() const { return lag_us_; }
+  // Sets the initial list, which is published without delay.
+  void SetInitialEntries(std::vector<RosterEntry> entries);
+  // Publishes a change after the delay in force at the time of the call.
+  void PublishDelayed(const RosterEntry& entry);
+  void SetPublicationDelay(TimeUs publication_delay_us) { publication_delay_us_ = publication_delay_us; }
+  TimeUs publication_delay() const { return publication_delay_us_; }
 
   void OnDatagram(const core::Address& from, std::string_view bytes) override;
 
  private:
-  void Publish(const RosterLine& line);
-  std::string Update(bool full, const std::vector<RosterLine>& lines) const;
+  void Publish(const RosterEntry& entry);
+  std::string FormatUpdate(bool full, const std::vector<RosterEntry>& entries) const;
 
   core::Runtime* runtime_;
-  TimeUs lag_us_;
-  TimeUs last_due_ = 0;
+  TimeUs publication_delay_us_;
+  TimeUs last_publication_at_ = 0;
   std::uint64_t version_ = 1;
-  std::map<std::uint32_t, RosterLine> lines_;
-  std::map<core::Address, std::uint64_t> subscribers_;  // with the version each said it has
+  std::map<std::uint32_t, RosterEntry> entries_;
+  std::map<core::Address, std::uint64_t> subscribers_;  // with the version that each has
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::unique_ptr<core::DatagramPort> port_;
 };
--- a/src/lab/stand_in.cpp
+++ b/src/lab/stand_in.cpp
@@ -4,49 +4,52 @@
 
 namespace croftrun::lab {
 
-void StandIn::Later(std::function<void()> what) {
-  if (delay_ == 0) return what();
-  runtime_->StartTimer(delay_, std::move(what));
+void EmulatedExchange::Respond(std::function<void()> callback) {
+  if (response_delay_ == 0) return callback();
+  runtime_->StartTimer(response_delay_, std::move(callback));
 }
 
-void StandIn::OnSeizure(const CircuitId& circuit, const SetUpInfo& info) {
-  if (mute_) return;
+void EmulatedExchange::OnSeizure(const CircuitId& circuit, const SetUpInfo& info) {
+  if (unresponsive_) return;
   if (info.destination == number_) {
-    if (!crowded_.empty() && info.called == crowded_) {
-      if (static_cast<int>(to_crowded_.size()) >= lines_)
-        return Later([this, circuit] { network_->Release(number_, circuit, {17, number_, 0, {}}); });
-      to_crowded_.insert(circuit);
+    if (!limited_number_.empty() && info.called == limited_number_) {
+      if (static_cast<int>(limited_calls_.size()) >= line_limit_)
+        return Respond([this, circuit] { network_->Release(number_, circuit, {17, number_, 0, {}}); });
+      limited_calls_.insert(circuit);
     }
-    return Later([this, circuit] { network_->Answer(number_, circuit); });
+    return Respond([this, circuit] { network_->Answer(number_, circuit); });
   }
-  // In transit: one leg onward, or back.
+  // Transit call: seize an onward circuit, or release with crankback (cause 34). Calls wider than one circuit are
+  // always rejected.
   CircuitId onward;
   SetUpInfo next = info;
-  next.others.clear();
-  const bool wide = !info.others.empty();
-  if (!wide && network_->PickIdle(number_, info.destination, &onward) && network_->Seize(number_, onward, next)) {
-    through_[circuit] = onward;
-    through_[onward] = circuit;
+  next.additional_circuits.clear();
+  const bool needs_several_circuits = !info.additional_circuits.empty();
+  if (!needs_several_circuits && network_->PickIdle(number_, info.destination, &onward) &&
+      network_->Seize(number_, onward, next)) {
+    transit_circuits_[circuit] = onward;
+    transit_circuits_[onward] = circuit;
     return;
   }
-  for (const unsigned other : info.others) network_->Release(number_, {circuit.far, other}, {34, number_, 0, {}});
+  for (const unsigned other : info.additional_circuits)
+    network_->Release(number_, {circuit.far, other}, {34, number_, 0, {}});
   network_->Release(number_, circuit, {34, number_, 0, {}});
 }
 
-void StandIn::OnAnswer(const CircuitId& circuit) {
-  const auto back = through_.find(circuit);
-  if (back != through_.end()) network_->Answer(number_, back->second);
+void EmulatedExchange::OnAnswer(const CircuitId& circuit) {
+  const auto back = transit_circuits_.find(circuit);
+  if (back != transit_circuits_.end()) network_->Answer(number_, back->second);
 }
 
-void StandIn::OnRelease(const CircuitId& circuit, const ReleaseNews& news) {
-  to_crowded_.erase(circuit);
+void EmulatedExchange::OnRelease(const CircuitId& circuit, const ReleaseDetails& details) {
+  limited_calls_.erase(circuit);
   network_->Release(number_, circuit, {16, number_, 0, {}});
-  const auto other = through_.find(circuit);
-  if (other == through_.end()) return;
+  const auto other = transit_circuits_.find(circuit);
+  if (other == transit_circuits_.end()) return;
   const CircuitId far = other->second;
-  through_.erase(circuit);
-  through_.erase(far);
-  network_->Release(number_, far, news);
+  transit_circuits_.erase(circuit);
+  transit_circuits_.erase(far);
+  network_->Release(number_, far, details);
 }
 
 }  // namespace croftrun::lab
--- a/src/lab/stand_in.h
+++ b/src/lab/stand_in.h
@@ -1,5 +1,5 @@
-// An emulated exchange: answers calls for its own numbers, carries transit calls on or turns them back. It has no call
-// agent of the product; it stands for the rest of the network when one real edge is tried.
+// An emulated exchange: answers calls to its own numbers, and forwards transit calls or rejects them with crankback. It
+// runs without a call agent and represents the rest of the network when a real edge is tested.
 #ifndef CROFTRUN_LAB_STAND_IN_H_
 #define CROFTRUN_LAB_STAND_IN_H_
 
@@ -11,37 +11,38 @@
 
 namespace croftrun::lab {
 
-class StandIn final : public CircuitUser {
+class EmulatedExchange final : public CircuitUser {
  public:
-  StandIn(Network* network, core::Runtime* runtime, int number)
+  EmulatedExchange(Network* network, core::Runtime* runtime, int number)
       : network_(network), runtime_(runtime), number_(number) {
     network_->SetUser(number, this);
   }
 
-  // Calls to this number find `lines` lines at most; 0 lifts it.
-  void Crowd(const std::string& number, int lines) { crowded_ = number, lines_ = lines; }
-  // Its answers and refusals leave only after this; 0: at once. For answers that come too late.
-  void Delay(TimeUs delay) { delay_ = delay; }
-  // Seizures are taken and nothing follows.
-  void Mute(bool mute) { mute_ = mute; }
+  // At most `lines` calls to this number are answered at a time, further ones are released as busy (cause 17).
+  // An empty number removes the limit.
+  void LimitLines(const std::string& number, int lines) { limited_number_ = number, line_limit_ = lines; }
+  // Delays answers and releases of incoming calls; 0: none. Produces late answers.
+  void SetResponseDelay(TimeUs delay) { response_delay_ = delay; }
+  // Seizures are accepted, but no answer or release follows.
+  void SetUnresponsive(bool unresponsive) { unresponsive_ = unresponsive; }
 
   void OnSeizure(const CircuitId& circuit, const SetUpInfo& info) override;
   void OnAnswer(const CircuitId& circuit) override;
-  void OnRelease(const CircuitId& circuit, const ReleaseNews& news) override;
+  void OnRelease(const CircuitId& circuit, const ReleaseDetails& details) override;
   void OnReleaseComplete(const CircuitId&) override {}
 
  private:
-  void Later(std::function<void()> what);
+  void Respond(std::function<void()> callback);
 
   Network* network_;
   core::Runtime* runtime_;
   int number_;
-  std::map<CircuitId, CircuitId> through_;  // calls in transit, both ways
-  std::set<CircuitId> to_crowded_;
-  std::string crowded_;
-  int lines_ = 0;
-  TimeUs delay_ = 0;
-  bool mute_ = false;
+  std::map<CircuitId, CircuitId> transit_circuits_;  // transit calls: the other circuit of each circuit
+  std::set<CircuitId> limited_calls_;
+  std::string limited_number_;
+  int line_limit_ = 0;
+  TimeUs response_delay_ = 0;
+  bool unresponsive_ = false;
 };
 
 }  // namespace croftrun::lab
--- a/src/lab/virtual_day.h
+++ b/src/lab/virtual_day.h
@@ -1,5 +1,5 @@
-// A day of the laboratory on virtual time, with the edges inside the process: the same day, edges and rules
-// as on sockets.
+// A scenario run in virtual time, with the edges inside the process. Scenario, edges and rule checks are the same as in
+// a run on sockets.
 #ifndef CROFTRUN_LAB_VIRTUAL_DAY_H_
 #define CROFTRUN_LAB_VIRTUAL_DAY_H_
 
@@ -19,7 +19,7 @@
 
 namespace croftrun::lab {
 
-// Keeps what is logged as an error.
+// Logger that keeps error messages and discards the rest.
 class QuietLog final : public core::Logger {
  public:
   void Write(core::LogLevel level, std::string_view event, CallId, std::string_view detail) override {
@@ -29,9 +29,10 @@
   std::vector<std::string> errors;
 };
 
+// EdgeHost that runs the edges inside this process.
 class InProcessEdges final : public EdgeHost {
  public:
-  // `decider`: who decides in place of the module; null: the module.
+  // `decider` creates the replacement for the decision module; null: the module itself.
   InProcessEdges(core::Runtime* runtime, core::Logger* log, core::MakeDecider decider = {})
       : runtime_(runtime), log_(log), decider_(std::move(decider)) {}
   void Start(int number, const std::string& settings_json) override {
@@ -49,9 +50,9 @@
   void Stop(int number) override {
     edges_[number].node->Stop([] {});
   }
-  void Stall(int number, bool stands_still) override {
+  void Stall(int number, bool stalled) override {
     if (const auto found = edges_.find(number); found != edges_.end() && found->second.node)
-      found->second.runtime->Stall(stands_still);
+      found->second.runtime->Stall(stalled);
   }
   edge::EdgeNode& At(int number) { return *edges_.at(number).node; }
   bool Runs(int number) const {
@@ -71,7 +72,7 @@
   std::map<int, Running> edges_;
 };
 
-// Plays a scenario to its end and holds what came of it.
+// Runs a scenario to its end and holds the results.
 class VirtualDay {
  public:
   explicit VirtualDay(Scenario of, core::MakeDecider decider = {})
@@ -86,6 +87,7 @@
     });
     day.Begin([this] { over = true; });
   }
+  // Runs until the scenario is complete, then checks the rules and creates the report.
   void Play() {
     while (!over && runtime.Step()) {
     }
@@ -100,7 +102,7 @@
   InProcessEdges edges;
   Day day;
   RuleChecker rules;
-  std::function<void(const TraceRecord&)> also;  // who else hears of each record
+  std::function<void(const TraceRecord&)> also;  // additional receiver of the trace records
   DayReport report;
   bool over = false;
 };
