--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -25,7 +25,7 @@
 // Converts settings that conform to the schema, and checks what a schema cannot express.
 class SettingsReader {
  public:
-  explicit SettingsReader(std::vector<config::Mistake>* mistakes) : mistakes_(mistakes) {}
+  explicit SettingsReader(std::vector<config::SettingsError>* mistakes) : mistakes_(mistakes) {}
 
   EdgeSettings Read(const json& file) {
     EdgeSettings s;
@@ -180,9 +180,9 @@
       return AddMistake("/rules_file", "expected either rules or rules_file, found both");
     if (file.contains("rules_file")) {
       const auto name = file.at("rules_file").get<std::string>();
-      std::vector<config::Mistake> read_errors;
+      std::vector<config::SettingsError> read_errors;
       text = config::ReadFile(name, expr::Limits().most_octets, &read_errors);
-      for (const config::Mistake& mistake : read_errors) AddMistake("/rules_file", name + ": " + mistake.text);
+      for (const config::SettingsError& mistake : read_errors) AddMistake("/rules_file", name + ": " + mistake.text);
       if (!read_errors.empty()) return;
       path = "/rules_file " + name + ":";
     } else if (!file.contains("rules")) {
@@ -213,9 +213,9 @@
     Value(a, "commands_per_s", &api.session_manager.session.commands.per_s);
     Value(a, "burst", &api.session_manager.session.commands.burst);
     if (!api.token_keys_file.empty()) {
-      std::vector<config::Mistake> mistakes;
+      std::vector<config::SettingsError> mistakes;
       api.session_manager.token_keys = ReadTokenKeys(api.token_keys_file, &mistakes);
-      for (const config::Mistake& mistake : mistakes)
+      for (const config::SettingsError& mistake : mistakes)
         AddMistake("/api/token_keys_file", mistake.path + ": " + mistake.text);
     }
     s->api = std::move(api);
@@ -367,15 +367,15 @@
   }
 
   static void ReadTransactions(const json& entry, mgcp::TransactionSettings* t) {
-    Time(entry, "first_timeout_ms", &t->first_timeout_us);
-    Time(entry, "longest_timeout_ms", &t->longest_timeout_us);
+    Time(entry, "first_timeout_ms", &t->initial_timeout_us);
+    Time(entry, "longest_timeout_ms", &t->max_timeout_us);
     Time(entry, "give_up_ms", &t->give_up_us);
     Time(entry, "history_ms", &t->history_us);
-    Value(entry, "most_pending", &t->most_pending);
-    Value(entry, "most_history", &t->most_history);
+    Value(entry, "most_pending", &t->max_pending);
+    Value(entry, "most_history", &t->max_history);
   }
 
-  std::vector<config::Mistake>* mistakes_;
+  std::vector<config::SettingsError>* mistakes_;
   std::map<std::string, int> classes_, customers_;
 };
 
@@ -387,7 +387,7 @@
   return names;
 }
 
-std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::Mistake>* mistakes) {
+std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::SettingsError>* mistakes) {
   constexpr std::size_t kMaxKeyFileOctets = 64U << 10U, kMinKeyOctets = 16, kMaxKeys = 16;
   std::vector<std::string> keys;
   std::istringstream text(config::ReadFile(file, kMaxKeyFileOctets, mistakes));
@@ -408,8 +408,8 @@
 
 std::string_view EdgeSchema() { return kEdgeSchema; }
 
-EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::Mistake>* mistakes) {
-  const json file = config::ParseAgainst(text, EdgeSchema(), mistakes);
+EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::SettingsError>* mistakes) {
+  const json file = config::ParseWithSchema(text, EdgeSchema(), mistakes);
   if (!mistakes->empty()) return {};
   return SettingsReader(mistakes).Read(file);
 }
@@ -460,12 +460,12 @@
                        {"longest_pause_ms", m.max_retry_after_us / kUsPerMs},
                        {"marks_redials", m.marks_redials},
                        {"tells_wait", m.reports_wait_time}};
-  result["transactions"] = {{"first_timeout_ms", s.transactions.first_timeout_us / kUsPerMs},
-                            {"longest_timeout_ms", s.transactions.longest_timeout_us / kUsPerMs},
+  result["transactions"] = {{"first_timeout_ms", s.transactions.initial_timeout_us / kUsPerMs},
+                            {"longest_timeout_ms", s.transactions.max_timeout_us / kUsPerMs},
                             {"give_up_ms", s.transactions.give_up_us / kUsPerMs},
                             {"history_ms", s.transactions.history_us / kUsPerMs},
-                            {"most_pending", s.transactions.most_pending},
-                            {"most_history", s.transactions.most_history}};
+                            {"most_pending", s.transactions.max_pending},
+                            {"most_history", s.transactions.max_history}};
   result["log"] = {{"level", s.log_level}, {"file", s.log_file}};
   return result;
 }
--- a/src/edge/line_front.cpp
+++ b/src/edge/line_front.cpp
@@ -9,7 +9,7 @@
 namespace croftrun::edge {
 namespace {
 
-using mgcp::Answered;
+using mgcp::TransactionResult;
 using mgcp::Verb;
 using mgcp::Writer;
 
@@ -50,8 +50,8 @@
   rule_state_.emplace(classifier_->rules(), rule_seed_);
 }
 
-Classifier::Result LineFront::PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us,
-                                                  int line, core::CallRequest* call_request) {
+Classifier::Result LineFront::PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us, int line,
+                                          core::CallRequest* call_request) {
   call_request->call_class = meaning.call_class;
   if (call_request->customer < 0 || line > 0) call_request->customer = meaning.customer;
   call_request->destination = meaning.destination;
@@ -72,21 +72,19 @@
   }
   if (result.rule != nullptr) apply_class();  // width and caller timeout depend on the class
   if (result.outcome.budget_us)
-    call_request->caller_timeout_us =
-        std::min(call_request->caller_timeout_us,
-                 static_cast<TimeUs>(std::max<std::int64_t>(1, *result.outcome.budget_us)));
+    call_request->caller_timeout_us = std::min(
+        call_request->caller_timeout_us, static_cast<TimeUs>(std::max<std::int64_t>(1, *result.outcome.budget_us)));
   return result;
 }
 
 Classifier::Result LineFront::ApplyRules(core::CallRequest* call_request, int line) {
   call_request->rules = rules_version_;
-  const CallFacts facts{line, settings_.gateway.host, core_->ShareRefused()};
+  const CallFacts facts{line, settings_.gateway.host, core_->RefusedShare()};
   const expr::Moment moment{runtime_->Now(), classifier_->rules().calendar.empty() ? 0 : runtime_->WallClockUs()};
   const Classifier::Result result = classifier_->Apply(call_request, facts, moment, &*rule_state_);
   if (result.rule != nullptr && log_->IsEnabled(core::LogLevel::kDebug)) {
-    std::string detail =
-        call_request->calling + ": rule " +
-        (result.rule->name.empty() ? std::to_string(result.rule->line) : result.rule->name);
+    std::string detail = call_request->calling + ": rule " +
+                         (result.rule->name.empty() ? std::to_string(result.rule->line) : result.rule->name);
     for (std::size_t i = 0; i < result.outcome.tag_count; ++i)
       detail += (i == 0 ? ", tags " : " ") + *result.outcome.tags[i];
     log_->Write(core::LogLevel::kDebug, "classified", 0, detail + ", rules " + std::to_string(rules_version_));
@@ -103,14 +101,15 @@
   transactions_->Send(settings_.gateway, {Verb::kDlcx, all, "", {}});
   const std::uint32_t request = next_request_id_++;
   for (Line& line : lines_) RecordArmedRequest(line, request);
-  transactions_->Send(settings_.gateway, {Verb::kRqnt, all, IdleLineRequest(request), [this](const Answered& answered) {
-                                            if (answered.ok()) return;
-                                            arm_retry_timer_.Start(kArmRetryInterval, [this] {
-                                              // Lines that have a call by now keep their current request.
-                                              if (calling_lines_.empty() && called_lines_.empty()) return ArmAllLines();
-                                              ArmIdleLines(std::string(wire_names::kLines) + "*");
-                                            });
-                                          }});
+  transactions_->Send(settings_.gateway,
+                      {Verb::kRqnt, all, IdleLineRequest(request), [this](const TransactionResult& answered) {
+                         if (answered.ok()) return;
+                         arm_retry_timer_.Start(kArmRetryInterval, [this] {
+                           // Lines that have a call by now keep their current request.
+                           if (calling_lines_.empty() && called_lines_.empty()) return ArmAllLines();
+                           ArmIdleLines(std::string(wire_names::kLines) + "*");
+                         });
+                       }});
 }
 
 void LineFront::ArmIdleLines(std::string_view pattern) {
@@ -158,7 +157,8 @@
   return body;
 }
 
-void LineFront::SendCommand(int line_number, Verb verb, std::string body, mgcp::Transactions::OnAnswer on_response) {
+void LineFront::SendCommand(int line_number, Verb verb, std::string body,
+                            mgcp::Transactions::ResultHandler on_response) {
   transactions_->Send(settings_.gateway,
                       {verb, wire_names::Line(line_number, settings_.domain), std::move(body), std::move(on_response)});
 }
@@ -198,7 +198,7 @@
   if (!has_digits) AcknowledgeNotification();
   std::string digits;
   for (const mgcp::EventRef& event : *events) {
-    if (mgcp::EqualsIgnoringCase(event.package, "D") && event.name.size() == 1 && digits.size() < core::kMostDigits) {
+    if (mgcp::EqualsIgnoringCase(event.package, "D") && event.name.size() == 1 && digits.size() < core::kMaxDigits) {
       digits += event.name;
     } else if (mgcp::EqualsIgnoringCase(event.name, "hu")) {
       digits.clear();
@@ -282,7 +282,7 @@
     // The call was refused before it was accepted. This applies to the call being dialled only: other calls may get
     // their final answers while it is processed.
     if (line_number == dialling_line_) {
-      const bool respond_only = core_->Overloaded() || admission_front_->admission() != nullptr;
+      const bool respond_only = core_->IsOverloaded() || admission_front_->admission() != nullptr;
       if (refused && pending_notification_ && respond_only) return RefuseInResponse(line, answer.retry_after_us);
       AcknowledgeNotification();  // a tone is sent only after the notification has been acknowledged
     }
@@ -299,7 +299,7 @@
   Writer(&body).Line("C", CallParameter(core_->own_number(), call)).Line("L", "p:20, a:PCMU").Line("M", "sendrecv");
   body += OnHookRequest();
   Writer(&body).Session(answer.session);
-  SendCommand(line_number, Verb::kCrcx, std::move(body), [this, call](const Answered& answered) {
+  SendCommand(line_number, Verb::kCrcx, std::move(body), [this, call](const TransactionResult& answered) {
     if (answered.ok()) return core_->OnCallerSession(call, answered.message->session);
     // The line has gone on hook or is out of order: the call has no caller any more.
     const int found_line = FindCallingLine(call);
@@ -324,11 +324,10 @@
   Writer writer(&body);
   writer.Line("S", signal).Line(wire_names::kAnswer, answer);
   if (retry_after_us > 0) writer.Line(wire_names::kPause, std::to_string(retry_after_us / 1000));
-  SendCommand(line_number, Verb::kRqnt, std::move(body), [this, line_number](const Answered& answered) {
+  SendCommand(line_number, Verb::kRqnt, std::move(body), [this, line_number](const TransactionResult& answered) {
     // 402: the line is on hook already; its notification may have been overtaken or lost.
     Line& current = lines_[static_cast<std::size_t>(line_number)];
-    if (answered.code() == mgcp::kAlreadyOnHook && current.state == State::kTone)
-      HandleOnHook(line_number, current);
+    if (answered.code() == mgcp::kAlreadyOnHook && current.state == State::kTone) HandleOnHook(line_number, current);
   });
 }
 
@@ -382,8 +381,8 @@
   writer.Line("C", CallParameter(core_->own_number(), call)).Line("L", "p:20, a:PCMU").Line("M", "recvonly");
   body += NextRequestId();
   writer.Line("R", "L/hd(N)").Line("S", "L/rg");
-  SendCommand(*line_number, Verb::kCrcx, std::move(body), [this, call](const Answered& answered) {
-    if (answered.ok() || answered.ending == mgcp::Ending::kNoAnswer) return;
+  SendCommand(*line_number, Verb::kCrcx, std::move(body), [this, call](const TransactionResult& answered) {
+    if (answered.ok() || answered.outcome == mgcp::TransactionOutcome::kNoResponse) return;
     // 401: the line went off hook at the same time to dial, so it is busy for the caller. Any other error: the
     // line is out of order.
     const int found_line = FindCalledLine(call);
@@ -430,7 +429,7 @@
     if (!mgcp::EndpointMatches(pattern, std::string(wire_names::kLines) + std::to_string(i))) continue;
     const int line_number = static_cast<int>(i);
     SendCommand(line_number, Verb::kAuep, "F: I, ES\r\n",
-                [this, line_number, call = lines_[i].call](const Answered& answered) {
+                [this, line_number, call = lines_[i].call](const TransactionResult& answered) {
                   Line& line = lines_[static_cast<std::size_t>(line_number)];
                   const bool is_same_call = line.state != State::kIdle && line.call == call;
                   if (!is_same_call || !answered.ok() || line.state == State::kRinging) return;
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -77,7 +77,7 @@
   TimeUs drift_us = 0;
   double drift_cv = 0.0;
   bool redial_doubles = false;
-  double heeds_pause = 1.0;
+  double retry_after_compliance = 1.0;
   std::vector<Fault> faults;
   // If set, every edge exports flow records to the collector at its gateway's host, with a spool in this folder.
   std::string flow_folder;
@@ -92,7 +92,7 @@
 // The JSON schema of scenarios.
 std::string_view ScenarioSchema();
 // Parses a scenario; the result is valid only if no mistakes were added.
-Scenario ParseScenario(std::string_view text, std::vector<config::Mistake>* mistakes);
+Scenario ParseScenario(std::string_view text, std::vector<config::SettingsError>* mistakes);
 
 // Loopback addresses derived from the scenario's octet and the number of the exchange.
 core::Address EdgeAddress(const Scenario& scenario, int number);
