--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -95,7 +95,7 @@
 
 void Day::StartEdge(int number) {
   const std::string log = log_folder_.empty() ? "" : log_folder_ + "/edge-" + std::to_string(number) + ".log";
-  trace_->Fact("edge-start", {{"exchange", number}});
+  trace_->RecordFact("edge-start", {{"exchange", number}});
   edges_->Start(number, EdgeSettingsFor(scenario_, number, log));
 }
 
@@ -109,16 +109,16 @@
   nlohmann::json classes = nlohmann::json::array();
   for (const TrafficClass& c : scenario_.classes)
     classes.push_back({{"name", c.name}, {"give_up_ms", c.give_up_us / 1000}});
-  trace_->Fact("day", {{"edges", edges},
-                       {"classes", classes},
-                       {"roster", core::ToString(RosterAddress(scenario_))},
-                       {"release_ms", scenario_.release_us / 1000},
-                       {"drain_grace_ms", scenario_.drain_grace_us / 1000}});
+  trace_->RecordFact("day", {{"edges", edges},
+                             {"classes", classes},
+                             {"roster", core::ToString(RosterAddress(scenario_))},
+                             {"release_ms", scenario_.release_us / 1000},
+                             {"drain_grace_ms", scenario_.drain_grace_us / 1000}});
   for (int i = 0; i < scenario_.edges; ++i) StartEdge(i);
   Schedule(kEdgeStartUpTime, [this, done = std::move(done)] {
     start_time_ = runtime_->Now();
     end_time_ = start_time_ + scenario_.length_us;
-    trace_->Fact("day-begins", {{"length_us", scenario_.length_us}});
+    trace_->RecordFact("day-begins", {{"length_us", scenario_.length_us}});
     RecordSample();
     for (int i = 0; i < scenario_.edges; ++i) {
       if (ArrivalRate(i) > 0.0)
@@ -187,7 +187,7 @@
         groups.push_back({a, b, all - network_.IdleBetween(a, b), all});
     }
   }
-  trace_->Fact("sample", {{"groups", groups}, {"waits_ms", waits}});
+  trace_->RecordFact("sample", {{"groups", groups}, {"waits_ms", waits}});
   if (runtime_->Now() < end_time_) Schedule(kSampleInterval, [this] { RecordSample(); });
 }
 
@@ -207,19 +207,19 @@
     if (i == caller.from || i == caller.to || !network_.At(i).alive) continue;
     if (network_.IdleBetween(caller.from, i) >= width && network_.IdleBetween(i, caller.to) >= width) ++tandems;
   }
-  trace_->Fact("try", {{"exchange", caller.from},
-                       {"line", caller.line},
-                       {"to", caller.to},
-                       {"class", c.name},
-                       {"how", outcome},
-                       {"began_us", caller.attempt_at},
-                       {"first_us", caller.first_attempt_at},
-                       {"direct", direct >= width},
-                       {"tandems", tandems},
-                       {"healthy", IsHealthy(caller.from) && IsHealthy(caller.to)},
-                       {"crowded", caller.called == crowded_number_},
-                       {"pause_ms", retry_after_us / 1000},
-                       {"alive", network_.At(caller.to).alive && !network_.At(caller.to).hung}});
+  trace_->RecordFact("try", {{"exchange", caller.from},
+                             {"line", caller.line},
+                             {"to", caller.to},
+                             {"class", c.name},
+                             {"how", outcome},
+                             {"began_us", caller.attempt_at},
+                             {"first_us", caller.first_attempt_at},
+                             {"direct", direct >= width},
+                             {"tandems", tandems},
+                             {"healthy", IsHealthy(caller.from) && IsHealthy(caller.to)},
+                             {"crowded", caller.called == crowded_number_},
+                             {"pause_ms", retry_after_us / 1000},
+                             {"alive", network_.At(caller.to).alive && !network_.At(caller.to).hung}});
 }
 
 // ---- Callers ----
@@ -275,7 +275,8 @@
   caller.first_attempt_at = runtime_->Now();
   ++report_.classes[static_cast<std::size_t>(caller.call_class)].offered;
   const CallerId id = next_caller_++;
-  trace_->Fact("offered", {{"from", from}, {"to", caller.to}, {"class", caller.call_class}, {"crowded", crowded}});
+  trace_->RecordFact("offered",
+                     {{"from", from}, {"to", caller.to}, {"class", caller.call_class}, {"crowded", crowded}});
   callers_[id] = caller;
   StartAttempt(id);
 }
@@ -387,7 +388,9 @@
   if (scenario_.redial_doubles) own_wait <<= std::min(caller.attempts - 1, 8);
   if (caller.timeout_per_target > 0.0)
     own_wait = kToneListenTime, retry_after_us = 0;  // redials after a short pause and ignores retry-after
-  if (retry_after_us > 0 && scenario_.heeds_pause < 1.0 && UniformRandom() >= scenario_.heeds_pause) retry_after_us = 0;
+  if (retry_after_us > 0 && scenario_.retry_after_compliance < 1.0 &&
+      UniformRandom() >= scenario_.retry_after_compliance)
+    retry_after_us = 0;
   const TimeUs wait = std::max(retry_after_us, own_wait);
   const bool gives_up =
       caller.attempts > caller.max_redials || runtime_->Now() + wait > caller.first_attempt_at + c.give_up_us;
@@ -446,7 +449,7 @@
   if (runtime_->Now() >= until) return;
   for (const int number : fault.exchanges) {
     if (number >= scenario_.edges || !stalled_edges_.insert(number).second) continue;
-    trace_->Fact("edge-stalled", {{"exchange", number}});
+    trace_->RecordFact("edge-stalled", {{"exchange", number}});
     edges_->Stall(number, true);
   }
   const auto stall = static_cast<TimeUs>(fault.size * 1000.0);
@@ -454,7 +457,7 @@
     for (const int number : fault.exchanges) {
       if (stalled_edges_.erase(number) == 0) continue;
       edges_->Stall(number, false);
-      trace_->Fact("edge-goes-on", {{"exchange", number}});
+      trace_->RecordFact("edge-goes-on", {{"exchange", number}});
     }
   });
   Schedule(stall + std::max<TimeUs>(fault.every_us, 1000), [this, fault, until] { RunEdgeStalls(fault, until); });
@@ -494,7 +497,7 @@
 }
 
 void Day::StartFault(const Fault& fault) {
-  trace_->Fact("fault", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
+  trace_->RecordFact("fault", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
   const TimeUs until = runtime_->Now() + (fault.for_us > 0 ? fault.for_us : scenario_.length_us);
   if (fault.kind == "crash" || fault.kind == "unit-restart") {
     for (const int number : fault.exchanges) {
@@ -543,7 +546,7 @@
       found->second->LimitLines(crowded_number_, fault.lines);
   } else if (fault.kind == "edge-kill") {
     for (const int number : fault.exchanges) {
-      trace_->Fact("edge-killed", {{"exchange", number}});
+      trace_->RecordFact("edge-killed", {{"exchange", number}});
       edges_->Kill(number);
     }
   } else if (fault.kind == "path") {
@@ -566,7 +569,7 @@
 }
 
 void Day::EndFault(const Fault& fault) {
-  trace_->Fact("relief", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
+  trace_->RecordFact("relief", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
   if (fault.kind == "crash" || fault.kind == "unit-restart") {
     for (const int number : fault.exchanges) {
       network_.Start(number);
--- a/src/lab/day_accounts.cpp
+++ b/src/lab/day_accounts.cpp
@@ -11,7 +11,7 @@
 
 using mgcp::Verb;
 using nlohmann::json;
-using reach::SetUpEnd;
+using reach::SetUpOutcome;
 
 // The interval of the bound, and the step at which the faults are sampled.
 constexpr TimeUs kBoundInterval = 4'000'000, kSampleStep = 50'000;
@@ -128,7 +128,7 @@
   if (!message.is_command) return;
   const std::string circuit(message.endpoint.local);
   if (circuit.rfind(wire_names::kCircuits, 0) != 0) return;
-  if (message.verb == Verb::kDlcx) return RecordSetUpResult(edge, circuit, SetUpEnd::kGivenUp, 0);
+  if (message.verb == Verb::kDlcx) return RecordSetUpResult(edge, circuit, SetUpOutcome::kCancelled, 0);
   if (message.verb != Verb::kCrcx) return;
   const auto events = ParseEvents(message, "S");
   const auto* sup = FindEvent(events, "sup");
@@ -141,12 +141,13 @@
   const auto before = edge.set_up_by_caller.find(caller);
   if (edge.unanswered_commands.count(message.transaction) > 0 ||
       (before != edge.set_up_by_caller.end() && before->second.circuit == circuit &&
-       before->second.end == SetUpEnd::kOut))
+       before->second.end == SetUpOutcome::kPending))
     return;
   edge.unanswered_commands[message.transaction] = circuit;
   edge.set_up_by_caller[caller] = {name->group, circuit, at};
   edge.caller_by_circuit[circuit] = caller;
-  ledger_.OnSetUp(at - first_record_at_, edge.number, name->group, ExchangeOf(mgcp::Argument(sup->parameters, "addr")));
+  ledger_.RecordSetUp(at - first_record_at_, edge.number, name->group,
+                      ExchangeOf(mgcp::Argument(sup->parameters, "addr")));
 }
 
 void DayAccounts::OnGateway(Edge& edge, TimeUs at, const mgcp::Message& message) {
@@ -156,29 +157,29 @@
     const std::string circuit = command->second;
     edge.unanswered_commands.erase(command);
     if (message.code < 400) return;
-    const bool down = message.code == mgcp::kNoResourcesNow;
+    const bool down = message.code == mgcp::kInsufficientResources;
     if (!down && edge.caller_by_circuit.count(circuit) > 0)
-      ledger_.OnCircuitRefused(at - first_record_at_, edge.number, circuit);
-    return RecordSetUpResult(edge, circuit, down ? SetUpEnd::kOwnDown : SetUpEnd::kOwnRefused, 0);
+      ledger_.RecordCircuitRefusal(at - first_record_at_, edge.number, circuit);
+    return RecordSetUpResult(edge, circuit, down ? SetUpOutcome::kOwnDown : SetUpOutcome::kOwnRefused, 0);
   }
   const std::string circuit(message.endpoint.local);
   if (message.verb != Verb::kNtfy || circuit.rfind(wire_names::kCircuits, 0) != 0) return;
   const auto events = ParseEvents(message, "O");
-  if (FindEvent(events, "sup") != nullptr) ledger_.OnCircuitUsed(edge.number, circuit);
+  if (FindEvent(events, "sup") != nullptr) ledger_.RecordCircuitUse(edge.number, circuit);
   if (FindEvent(events, "ans") != nullptr) {
-    ledger_.OnCircuitUsed(edge.number, circuit);
-    RecordSetUpResult(edge, circuit, SetUpEnd::kAnswered, 0);
+    ledger_.RecordCircuitUse(edge.number, circuit);
+    RecordSetUpResult(edge, circuit, SetUpOutcome::kAnswered, 0);
   }
   if (const auto* rel = FindEvent(events, "rel")) {
     const int cause = wire_names::Number<int>(rel->parameters).value_or(41);
     if (edge.caller_by_circuit.count(circuit) > 0) {
       if (cause == 44 || cause == 47) {
-        ledger_.OnCircuitRefused(at - first_record_at_, edge.number, circuit);
+        ledger_.RecordCircuitRefusal(at - first_record_at_, edge.number, circuit);
       } else {
-        ledger_.OnCircuitUsed(edge.number, circuit);
+        ledger_.RecordCircuitUse(edge.number, circuit);
       }
     }
-    RecordSetUpResult(edge, circuit, SetUpEnd::kReleased, cause);
+    RecordSetUpResult(edge, circuit, SetUpOutcome::kReleased, cause);
   }
 }
 
@@ -191,13 +192,13 @@
   set_up->slow = slow_.count(set_up->to) > 0 || waits;
 }
 
-void DayAccounts::RecordSetUpResult(Edge& edge, const std::string& circuit, SetUpEnd end, int cause) {
+void DayAccounts::RecordSetUpResult(Edge& edge, const std::string& circuit, SetUpOutcome end, int cause) {
   const auto caller = edge.caller_by_circuit.find(circuit);
   if (caller == edge.caller_by_circuit.end()) return;
   const auto set_up = edge.set_up_by_caller.find(caller->second);
   edge.caller_by_circuit.erase(caller);
   if (set_up == edge.set_up_by_caller.end() || set_up->second.circuit != circuit ||
-      set_up->second.end != SetUpEnd::kOut)
+      set_up->second.end != SetUpOutcome::kPending)
     return;
   set_up->second.end = end;
   set_up->second.cause = cause;
@@ -206,9 +207,9 @@
 
 void DayAccounts::OnAttempt(const TraceRecord& record) {
   const json& f = record.figures;
-  reach::TryEnd t;
+  reach::AttemptRecord t;
   const std::string how = f.at("how").get<std::string>();
-  t.how = how;
+  t.outcome = how;
   t.from = f.at("exchange").get<int>();
   t.to = f.at("to").get<int>();
   const std::string name = f.at("class").get<std::string>();
@@ -220,7 +221,7 @@
   t.tandems = f.at("tandems").get<int>();
   t.healthy = f.at("healthy").get<bool>() && !f.at("crowded").get<bool>();
   // Late after four fifths of the target delay: the remaining fifth is needed for the set-up.
-  t.late = f.at("began_us").get<TimeUs>() - f.at("first_us").get<TimeUs>() > traffic_class->aim_us * 4 / 5;
+  t.late_redial = f.at("began_us").get<TimeUs>() - f.at("first_us").get<TimeUs>() > traffic_class->aim_us * 4 / 5;
   Edge& edge = edges_[t.from];
   const auto began = f.at("began_us").get<TimeUs>();
   t.own_edge_down = !edge.up || edge.last_outage_end >= began || down_.count(t.from) > 0;
@@ -228,15 +229,15 @@
       edge.set_up_by_caller.find(std::string(wire_names::kLines) + std::to_string(f.at("line").get<int>()));
   if (caller != edge.set_up_by_caller.end() && caller->second.at >= began) {
     SetUp& set_up = caller->second;
-    if (set_up.end == SetUpEnd::kOut) RecordDestinationState(&set_up);
+    if (set_up.end == SetUpOutcome::kPending) RecordDestinationState(&set_up);
     t.sent = true;
-    t.end = set_up.end;
+    t.set_up_outcome = set_up.end;
     t.cause = set_up.cause;
-    t.cold = set_up.warming_up;
-    t.dead = set_up.down;
+    t.warming_up = set_up.warming_up;
+    t.down = set_up.down;
     t.slow = set_up.slow;
   }
-  ledger_.OnTry(record.at_us - first_record_at_, t);
+  ledger_.RecordAttempt(record.at_us - first_record_at_, t);
   if (Bin* bin = FindBin(record.at_us); bin != nullptr && how != "cut" && how != "cut-late") {
     ++bin->tries;
     bin->stood += how == "stands" || how == "stands-late" ? 1 : 0;
@@ -311,10 +312,11 @@
     of.worth = c.worth;
     of.late_worth = c.late_worth;
     of.width = c.width;
-    of.keeps = reach::Keeps(static_cast<double>(c.holding_us), interval, p.intervals);
-    of.leaves = reach::Leaves(static_cast<double>(c.holding_us), interval, p.intervals);
-    of.in_time = static_cast<std::size_t>((c.aim_us + interval_us - 1) / interval_us);
-    of.late = c.late_worth > 0.0 ? static_cast<std::size_t>((c.give_up_us + interval_us - 1) / interval_us) : 0;
+    of.occupancy = reach::ExponentialOccupancy(static_cast<double>(c.holding_us), interval, p.intervals);
+    of.releases = reach::ExponentialReleases(static_cast<double>(c.holding_us), interval, p.intervals);
+    of.in_time_intervals = static_cast<std::size_t>((c.aim_us + interval_us - 1) / interval_us);
+    of.late_intervals =
+        c.late_worth > 0.0 ? static_cast<std::size_t>((c.give_up_us + interval_us - 1) / interval_us) : 0;
     p.classes.push_back(of);
   }
   std::map<std::tuple<std::size_t, std::size_t, std::size_t, bool, std::size_t>, double> demands;
--- a/src/lab/day_accounts.h
+++ b/src/lab/day_accounts.h
@@ -52,7 +52,7 @@
     int to = -1;
     std::string circuit;
     TimeUs at = 0;
-    reach::SetUpEnd end = reach::SetUpEnd::kOut;
+    reach::SetUpOutcome end = reach::SetUpOutcome::kPending;
     int cause = 0;
     bool warming_up = false, down = false, slow = false;
   };
@@ -69,7 +69,7 @@
   void OnAttempt(const TraceRecord& record);
   void OnEdge(Edge& edge, TimeUs at, const mgcp::Message& message);
   void OnGateway(Edge& edge, TimeUs at, const mgcp::Message& message);
-  void RecordSetUpResult(Edge& edge, const std::string& circuit, reach::SetUpEnd end, int cause);
+  void RecordSetUpResult(Edge& edge, const std::string& circuit, reach::SetUpOutcome end, int cause);
   void RecordDestinationState(SetUp* set_up) const;
   Bin* FindBin(TimeUs at);
 
--- a/src/lab/gateway.cpp
+++ b/src/lab/gateway.cpp
@@ -94,7 +94,7 @@
 
 void Gateway::SendNextNotification(const std::string& endpoint) {
   transactions_.Send(settings_.agent, {Verb::kNtfy, endpoint, notifications_[endpoint].front(),
-                                       [this, endpoint](const mgcp::Answered& answered) {
+                                       [this, endpoint](const mgcp::TransactionResult& answered) {
                                          if (answered.code() >= 400) OnNotificationRejected(endpoint, answered.message);
                                          auto& queue = notifications_[endpoint];
                                          queue.pop_front();
@@ -321,7 +321,8 @@
 void Gateway::HandleSetUpCommand(mgcp::Transactions::CommandId id, const mgcp::Message& message,
                                  const CircuitId& circuit, std::string_view sup) {
   if (!network_->At(settings_.number).alive)
-    return transactions_.Respond(id, mgcp::kNoResourcesNow, CircuitState(circuit), "own processor out of service");
+    return transactions_.Respond(id, mgcp::kInsufficientResources, CircuitState(circuit),
+                                 "own processor out of service");
   SetUpInfo info;
   info.called = mgcp::Argument(sup, "addr");
   info.calling = mgcp::Argument(sup, "id");
--- a/src/lab/network.cpp
+++ b/src/lab/network.cpp
@@ -136,7 +136,7 @@
       p.fall_multiple * capacity_share / exchange.slow * exchange.speed * static_cast<double>(p.fall_us);
   // A margin of two set-ups: where the budget is only a few set-ups, two that arrive together must not exceed it.
   if (sum <= budget + 2.0 * static_cast<double>(p.set_up_us)) return;
-  trace_->Fact("fell-over", {{"exchange", exchange.number}});
+  trace_->RecordFact("fell-over", {{"exchange", exchange.number}});
   Kill(exchange.number);
   exchange.fell_over = true;
 }
@@ -338,7 +338,7 @@
   if (!exchange.alive) return;
   exchange.alive = false;
   exchange.busy_until = 0;
-  trace_->Fact("down", {{"exchange", number}});
+  trace_->RecordFact("down", {{"exchange", number}});
   // Calls on all circuits of the exchange are disconnected; each end sees this as a release by the far end.
   for (auto& [pair, circuits] : groups_) {
     if (pair.first != number && pair.second != number) continue;
@@ -359,13 +359,13 @@
   exchange.started_us = runtime_->Now();
   exchange.warm_up_work.clear();
   const ProcessorSettings& p = settings_.processor;
-  trace_->Fact("cold-start",
-               {{"exchange", number},
-                {"set_ups_per_s", 1e6 * exchange.speed / (static_cast<double>(p.set_up_us) * exchange.slow)},
-                {"cold_from", p.cold_from},
-                {"warm_up_ms", p.warm_up_us / 1000},
-                {"fall_multiple", p.fall_multiple},
-                {"fall_ms", p.fall_us / 1000}});
+  trace_->RecordFact("cold-start",
+                     {{"exchange", number},
+                      {"set_ups_per_s", 1e6 * exchange.speed / (static_cast<double>(p.set_up_us) * exchange.slow)},
+                      {"cold_from", p.cold_from},
+                      {"warm_up_ms", p.warm_up_us / 1000},
+                      {"fall_multiple", p.fall_multiple},
+                      {"fall_ms", p.fall_us / 1000}});
 }
 
 void Network::FailCircuits(int zone, const std::vector<int>& among, double keep) {
