--- a/src/expr/lex.cpp
+++ b/src/expr/lex.cpp
@@ -316,8 +316,8 @@
 
 std::vector<Token> Lex(std::string_view source, const Limits& limits, Reporter* reporter) {
   if (const std::size_t at = FindInvalidUtf8(source); at < source.size())
-    reporter->Report(
-        at, "expected UTF-8, found the invalid octet " + std::to_string(static_cast<unsigned char>(source[at])));
+    reporter->Report(at, "expected UTF-8, found octet " + std::to_string(static_cast<unsigned char>(source[at])) +
+                             ", which is not valid there");
   return Lexer(source, limits, reporter).Tokenize();
 }
 
