--- a/src/expr/value.h
+++ b/src/expr/value.h
@@ -23,7 +23,7 @@
   std::string_view text;
   bool present = true;
 };
-// The attributes of one call, in the order of the schema.
+// The attributes of one call in the order of the schema, then the values that RuleSet::Extend adds.
 using Input = std::vector<Value>;
 
 // A value on the stack of the machine. It is not initialised until it is written.
--- a/tests/expr_test.cpp
+++ b/tests/expr_test.cpp
@@ -138,19 +138,20 @@
   EXPECT_NE(ErrorsOf(list + "]").find("at most 4096 items"), std::string::npos);
   EXPECT_NE(ErrorsOf("called matches \"(a{1,500}){1,500}\"").find("regular expression"), std::string::npos);
   EXPECT_NE(ErrorsOf(std::string(5 << 20, ' ')).find("octets"), std::string::npos);
-  Limits tight;
-  tight.max_cost = 50;
-  EXPECT_NE(ErrorsOf("called contains \"123\" and calling contains \"123\"", tight).find("cost"), std::string::npos);
+  Limits low_limits;
+  low_limits.max_cost = 50;
+  EXPECT_NE(ErrorsOf("called contains \"123\" and calling contains \"123\"", low_limits).find("cost"),
+            std::string::npos);
   std::string sum = "1";
   for (int i = 0; i < 250'000; ++i) sum += "+1";
   ErrorsOf(sum);
 }
 
 TEST(Expr, MatchesInvalidUtf8AsOctets) {
-  Input odd = SampleCall();
-  odd[2].text = std::string_view("\xff\xfe\0z", 4);
-  EXPECT_EQ(Evaluate("called contains \"z\"", odd), 1);
-  EXPECT_EQ(Evaluate("called matches \"^[0-9]+$\"", odd), 0);
+  Input invalid_utf8 = SampleCall();
+  invalid_utf8[2].text = std::string_view("\xff\xfe\0z", 4);
+  EXPECT_EQ(Evaluate("called contains \"z\"", invalid_utf8), 1);
+  EXPECT_EQ(Evaluate("called matches \"^[0-9]+$\"", invalid_utf8), 0);
 }
 
 TEST(ExprRules, AppliesFirstMatchingRule) {
