--- a/src/edge/admission_front.h
+++ b/src/edge/admission_front.h
@@ -1,5 +1,6 @@
-// Between the fronts and the core: what all fronts share. With a door, a call waits here until the door lets it in;
-// without one it goes straight through. A front uses it as it would use the core, with the core's ids.
+// The layer between the fronts and the core, shared by all fronts. With admission control, a call is queued here until
+// the admission controller admits or refuses it; without, it goes straight to the core. Fronts use this class as they
+// would use the core, with the core's call ids.
 #ifndef CROFTRUN_EDGE_ADMISSION_FRONT_H_
 #define CROFTRUN_EDGE_ADMISSION_FRONT_H_
 
@@ -13,24 +14,25 @@
 
 namespace croftrun::edge {
 
+// Applies admission control to new calls and forwards the core's results to the front that owns each call.
 class AdmissionFront final : public core::CallOwner {
  public:
-  // `admission`: nothing for none. Runtime and core outlive it.
+  // No admission control if `admission` is empty. `runtime` and `core` must outlive this object.
   AdmissionFront(const std::optional<admission::AdmissionSettings>& admission, TimeUs answer_margin_us,
                  core::Runtime* runtime, core::CallCore* core);
 
-  // As CallCore::AcceptCall. `client`: who calls, as the door tells clients apart.
-  CallId Take(const core::CallRequest& offer, core::CallOwner* owner, std::string_view client);
+  // Like CallCore::AcceptCall. `client` identifies the caller to the admission controller.
+  CallId AcceptCall(const core::CallRequest& request, core::CallOwner* owner, std::string_view client);
   void HangUp(CallId call);
-  // New weights and limits of the customers, from the next turn on; calls that wait stay where they are.
+  // Sets new weights and limits of the customers, from the next scheduling round on. Queued calls keep their places.
   void SetCustomers(const std::vector<admission::CustomerSettings>& customers) {
     if (admission_) admission_->SetCustomers(customers);
   }
-  // Whoever waits is refused now; later calls are the core's to refuse.
-  void StopTaking();
+  // Refuses all queued calls now. Later calls go to the core, which refuses them.
+  void StopAcceptingCalls();
 
-  std::size_t waiting() const { return waiting_.size(); }
-  // Null: there is none.
+  std::size_t queued() const { return queued_.size(); }
+  // Returns null if there is no admission control.
   const admission::AdmissionController* admission() const { return admission_ ? &*admission_ : nullptr; }
 
   void OnAccepted(CallId call) override;
@@ -38,21 +40,22 @@
   void OnCallEnded(CallId call, core::ReleaseCause cause) override;
 
  private:
-  struct Waiting {
-    core::CallRequest offer;
-    TimeUs since = 0;
+  struct QueuedCall {
+    core::CallRequest request;
+    TimeUs queued_since = 0;
   };
-  void Carry();
-  void Restart();
+  // Executes the pending admission decisions in order. Executing one may add more.
+  void ExecuteDecisions();
+  void RestartTimer();
 
   core::Runtime* runtime_;
   core::CallCore* core_;
-  TimeUs margin_us_;
+  TimeUs answer_margin_us_;
   std::optional<admission::AdmissionController> admission_;
-  std::unordered_map<CallId, Waiting> waiting_;          // at the door
-  std::unordered_map<CallId, core::CallOwner*> owners_;  // of calls at the door or beyond it
+  std::unordered_map<CallId, QueuedCall> queued_;        // not yet admitted or refused
+  std::unordered_map<CallId, core::CallOwner*> owners_;  // of queued and of admitted calls
   std::vector<admission::AdmissionDecision> decisions_;
-  bool carrying_ = false, stopping_ = false;
+  bool executing_ = false, stopping_ = false;
   core::Timer timer_;
 };
 
--- a/src/edge/api_front.cpp
+++ b/src/edge/api_front.cpp
@@ -6,7 +6,7 @@
 namespace croftrun::edge {
 namespace {
 
-constexpr TimeUs kTell = 1'000'000;
+constexpr TimeUs kNotifyInterval = 1'000'000;
 
 }  // namespace
 
@@ -18,23 +18,25 @@
       lines_(lines),
       customers_(CustomerNames(settings)),
       session_manager_(settings.api->session_manager, runtime, this),
-      tell_(runtime) {
-  tell_.Start(kTell, [this] { Tell(); });
+      notify_timer_(runtime) {
+  notify_timer_.Start(kNotifyInterval, [this] { NotifySubscribers(); });
 }
 
-bool ApiFront::Classify(core::CallRequest* offer, const std::string& customer, bool* refused, TimeUs* pause_us) {
-  const auto meaning = settings_.plan.Find(offer->called);
-  if (!meaning) return false;
-  const auto named = std::find(customers_.begin(), customers_.end(), customer);
-  offer->customer = named == customers_.end() ? -1 : static_cast<int>(named - customers_.begin());
-  const Classifier::Verdict verdict = lines_->Prepare(*meaning, offer->caller_timeout_us, 0, offer);
-  *refused = verdict.refuse;
-  *pause_us = verdict.pause_us;
-  return !verdict.refuse;
+bool ApiFront::Classify(core::CallRequest* call_request, const std::string& customer, bool* refused,
+                        TimeUs* retry_after_us) {
+  const auto number_meaning = settings_.plan.Find(call_request->called);
+  if (!number_meaning) return false;
+  const auto found = std::find(customers_.begin(), customers_.end(), customer);
+  call_request->customer = found == customers_.end() ? -1 : static_cast<int>(found - customers_.begin());
+  const Classifier::Result result =
+      lines_->PrepareCall(*number_meaning, call_request->caller_timeout_us, 0, call_request);
+  *refused = result.refuse;
+  *retry_after_us = result.retry_after_us;
+  return !result.refuse;
 }
 
-CallId ApiFront::Take(const core::CallRequest& offer, core::CallOwner* owner, std::string_view client) {
-  return admission_front_->Take(offer, owner, client);
+CallId ApiFront::Take(const core::CallRequest& call_request, core::CallOwner* owner, std::string_view client) {
+  return admission_front_->AcceptCall(call_request, owner, client);
 }
 
 nlohmann::json ApiFront::List(const std::string& what) {
@@ -58,16 +60,16 @@
   return list;
 }
 
-void ApiFront::Tell() {
-  if (nlohmann::json groups = List("groups"); groups != groups_told_) {
-    groups_told_ = std::move(groups);
+void ApiFront::NotifySubscribers() {
+  if (nlohmann::json groups = List("groups"); groups != notified_groups_) {
+    notified_groups_ = std::move(groups);
     session_manager_.TellGroups();
   }
-  if (nlohmann::json roster = List("roster"); roster != roster_told_) {
-    roster_told_ = std::move(roster);
+  if (nlohmann::json roster = List("roster"); roster != notified_roster_) {
+    notified_roster_ = std::move(roster);
     session_manager_.TellRoster();
   }
-  tell_.Start(kTell, [this] { Tell(); });
+  notify_timer_.Start(kNotifyInterval, [this] { NotifySubscribers(); });
 }
 
 }  // namespace croftrun::edge
--- a/src/edge/api_front.h
+++ b/src/edge/api_front.h
@@ -1,5 +1,5 @@
-// The API's desk on this edge: number plan, rules and intake are those of the lines, the lists are read off
-// the core.
+// The call service behind the WebSocket API of this edge. API calls use the same number plan, rules and admission
+// control as the lines; the lists of groups and exchanges come from the core.
 #ifndef CROFTRUN_EDGE_API_FRONT_H_
 #define CROFTRUN_EDGE_API_FRONT_H_
 
@@ -14,14 +14,16 @@
 
 namespace croftrun::edge {
 
+// Classifies and places calls for the API's session manager.
 class ApiFront final : public ws::CallService {
  public:
-  // All outlive it. `settings.api` is set.
+  // All arguments must outlive this object, and `settings.api` must be set.
   ApiFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core, AdmissionFront* admission_front,
            LineFront* lines);
 
-  bool Classify(core::CallRequest* offer, const std::string& customer, bool* refused, TimeUs* pause_us) override;
-  CallId Take(const core::CallRequest& offer, core::CallOwner* owner, std::string_view client) override;
+  bool Classify(core::CallRequest* call_request, const std::string& customer, bool* refused,
+                TimeUs* retry_after_us) override;
+  CallId Take(const core::CallRequest& call_request, core::CallOwner* owner, std::string_view client) override;
   void HangUp(CallId call) override { admission_front_->HangUp(call); }
   nlohmann::json List(const std::string& what) override;
 
@@ -29,17 +31,17 @@
   const ws::SessionManager& session_manager() const { return session_manager_; }
 
  private:
-  // Subscribers hear of groups and roster as often as this, if anything changed.
-  void Tell();
+  // Notifies subscribers of changed groups and a changed roster, at most once per interval.
+  void NotifySubscribers();
 
   const EdgeSettings& settings_;
   core::CallCore* core_;
   AdmissionFront* admission_front_;
   LineFront* lines_;
   std::vector<std::string> customers_;
-  nlohmann::json groups_told_, roster_told_;
+  nlohmann::json notified_groups_, notified_roster_;
   ws::SessionManager session_manager_;
-  core::Timer tell_;
+  core::Timer notify_timer_;
 };
 
 }  // namespace croftrun::edge
--- a/src/edge/classifier.cpp
+++ b/src/edge/classifier.cpp
@@ -8,9 +8,9 @@
 namespace croftrun::edge {
 namespace {
 
-constexpr std::size_t kLongestCalling = 64;
+constexpr std::size_t kMaxCallingLength = 64;
 
-// Each zone once, in the order in which they are named.
+// Returns each zone once, in the order of the places.
 std::vector<std::string> ZonesOf(const std::vector<Place>& places) {
   std::vector<std::string> zones;
   for (const Place& place : places) {
@@ -26,11 +26,11 @@
   using expr::Type;
   expr::Schema schema;
   schema.enumerations = {{"class", classes}, {"customer", customers}};
-  // In the order in which Fill fills the input.
+  // Fill sets the values in the same order.
   schema.attributes = {{"class", Type::kEnum, "class", 0, false},
                        {"customer", Type::kEnum, "customer", 0, false},
                        {"called", Type::kString, "", core::kMostDigits, false},
-                       {"calling", Type::kString, "", kLongestCalling, false},
+                       {"calling", Type::kString, "", kMaxCallingLength, false},
                        {"destination", Type::kInt, "", 0, false},
                        {"width", Type::kInt, "", 0, false},
                        {"patience", Type::kDuration, "", 0, false},
@@ -56,54 +56,54 @@
   const std::vector<std::string> zones = ZonesOf(places);
   for (std::size_t i = 0; i < places.size(); ++i) {
     const auto zone = std::find(zones.begin(), zones.end(), places[i].zone) - zones.begin();
-    classifier->places_[places[i].exchange] = {static_cast<int>(i), static_cast<int>(zone)};
+    classifier->words_by_exchange_[places[i].exchange] = {static_cast<int>(i), static_cast<int>(zone)};
   }
   return classifier;
 }
 
-void Classifier::Fill(const core::CallRequest& offer, const CallFacts& facts, expr::Input* input) {
+void Classifier::Fill(const core::CallRequest& call_request, const CallFacts& facts, expr::Input* input) {
   const auto number = [](std::int64_t value) { return expr::Value{value, {}, true}; };
-  const auto text = [](std::string_view value, std::size_t longest) {
-    return expr::Value{0, value.substr(0, longest), true};
+  const auto text = [](std::string_view value, std::size_t max_length) {
+    return expr::Value{0, value.substr(0, max_length), true};
   };
   input->clear();
-  input->push_back(number(offer.call_class));
-  input->push_back(number(offer.customer));
-  input->push_back(text(offer.called, core::kMostDigits));
-  input->push_back(text(offer.calling, kLongestCalling));
-  input->push_back(number(offer.destination));
-  input->push_back(number(static_cast<std::int64_t>(offer.width)));
-  input->push_back(number(static_cast<std::int64_t>(offer.caller_timeout_us)));
+  input->push_back(number(call_request.call_class));
+  input->push_back(number(call_request.customer));
+  input->push_back(text(call_request.called, core::kMostDigits));
+  input->push_back(text(call_request.calling, kMaxCallingLength));
+  input->push_back(number(call_request.destination));
+  input->push_back(number(static_cast<std::int64_t>(call_request.width)));
+  input->push_back(number(static_cast<std::int64_t>(call_request.caller_timeout_us)));
   input->push_back(expr::Value{facts.line, {}, facts.line != 0});
   input->push_back(number(facts.gateway));
   input->push_back(number(std::bit_cast<std::int64_t>(facts.overload)));
 }
 
-Classifier::Verdict Classifier::Apply(core::CallRequest* offer, const CallFacts& facts, const expr::Moment& moment,
-                                      expr::RuleState* state) const {
-  // One buffer a thread: nothing is allocated for a call.
+Classifier::Result Classifier::Apply(core::CallRequest* call_request, const CallFacts& facts,
+                                     const expr::Moment& moment, expr::RuleState* state) const {
+  // One buffer for each thread, so that calls need no allocation.
   thread_local expr::Input input;
-  Fill(*offer, facts, &input);
-  if (!places_.empty()) {
-    const auto place = places_.find(offer->destination);
-    const bool named = place != places_.end();
-    input.push_back({named ? place->second.exchange : 0, {}, named});
-    input.push_back({named ? place->second.zone : 0, {}, named});
+  Fill(*call_request, facts, &input);
+  if (!words_by_exchange_.empty()) {
+    const auto words = words_by_exchange_.find(call_request->destination);
+    const bool has_name = words != words_by_exchange_.end();
+    input.push_back({has_name ? words->second.exchange : 0, {}, has_name});
+    input.push_back({has_name ? words->second.zone : 0, {}, has_name});
   }
   rules_.Extend(&input, moment, state);
-  Verdict verdict;
-  expr::Outcome& outcome = verdict.outcome;
+  Result result;
+  expr::Outcome& outcome = result.outcome;
   rules_.Apply(input, &outcome);
-  if (outcome.rule < 0) return verdict;
-  verdict.rule = &rules_.rules[static_cast<std::size_t>(outcome.rule)];
-  verdict.refuse = outcome.refuse;
-  verdict.pause_us = static_cast<TimeUs>(outcome.pause_us);
-  if (outcome.call_class) offer->call_class = *outcome.call_class;
-  if (outcome.customer) offer->customer = *outcome.customer;
-  if (outcome.priority) offer->priority = *outcome.priority;
-  if (outcome.key) offer->key = std::max<std::uint64_t>(1, *outcome.key);
-  if (outcome.redial) offer->is_redial = true;
-  return verdict;
+  if (outcome.rule < 0) return result;
+  result.rule = &rules_.rules[static_cast<std::size_t>(outcome.rule)];
+  result.refuse = outcome.refuse;
+  result.retry_after_us = static_cast<TimeUs>(outcome.pause_us);
+  if (outcome.call_class) call_request->call_class = *outcome.call_class;
+  if (outcome.customer) call_request->customer = *outcome.customer;
+  if (outcome.priority) call_request->priority = *outcome.priority;
+  if (outcome.key) call_request->key = std::max<std::uint64_t>(1, *outcome.key);
+  if (outcome.redial) call_request->is_redial = true;
+  return result;
 }
 
 }  // namespace croftrun::edge
--- a/src/edge/classifier.h
+++ b/src/edge/classifier.h
@@ -1,5 +1,5 @@
-// Rules of the language in src/expr applied to calls of own lines, before the module sees them. They classify; routes
-// stay with the module.
+// Applies rules of the language in src/expr to calls of this edge's callers before the module sees them. Rules classify
+// calls; routing is left to the module.
 #ifndef CROFTRUN_EDGE_CLASSIFIER_H_
 #define CROFTRUN_EDGE_CLASSIFIER_H_
 
@@ -15,51 +15,53 @@
 
 namespace croftrun::edge {
 
-// What the front knows of a call beside its offer.
+// Inputs of the rules that are not part of the call request.
 struct CallFacts {
-  int line = 0;               // 0: none
+  int line = 0;               // calling line; 0: none
   std::uint32_t gateway = 0;  // IPv4 address, host order
-  double overload = 0.0;      // share of new calls that this edge refuses for its own overload
+  double overload = 0.0;      // share of new calls that this edge refuses because it is overloaded
 };
 
-// An exchange that the settings give a name, and the zone it lies in.
+// An exchange that has a name in the settings, and its zone.
 struct Place {
   int exchange = -1;
   std::string name, zone;
 };
 
+// A compiled set of rules. Immutable, so that each call is classified by one version of the rules.
 class Classifier {
  public:
-  // What rules can ask of a call, with the words of the settings.
-  // With places also `to` and `to_zone`, where the destination has a name.
+  // Returns the attributes of a call that rules can refer to, with the names from the settings. If there are places,
+  // the attributes `to` and `to_zone` are added; they have a value if the destination has a name.
   static expr::Schema SchemaFor(const std::vector<std::string>& classes, const std::vector<std::string>& customers,
                                 const std::vector<Place>& places = {});
-  // An input of that schema, without what the rule set adds. Texts refer to the offer.
-  static void Fill(const core::CallRequest& offer, const CallFacts& facts, expr::Input* input);
-  // Null where there was a mistake; immutable once made, so that a call is wholly under one version.
+  // Fills `input` in the order of the schema's attributes, without the values that the rule set derives. Texts in it
+  // refer to the call request.
+  static void Fill(const core::CallRequest& call_request, const CallFacts& facts, expr::Input* input);
+  // Compiles the text of the rules. Appends the errors to `mistakes` and returns null if there are any.
   static std::shared_ptr<const Classifier> Make(std::string_view text, const std::vector<std::string>& classes,
                                                 const std::vector<std::string>& customers,
                                                 std::vector<expr::Mistake>* mistakes,
                                                 const std::vector<Place>& places = {});
 
-  struct Verdict {
-    const expr::Rule* rule = nullptr;  // the first that matched; null: none
+  struct Result {
+    const expr::Rule* rule = nullptr;  // first rule that matched; null: none
     bool refuse = false;
-    TimeUs pause_us = 0;
+    TimeUs retry_after_us = 0;
     expr::Outcome outcome;
   };
-  // Changes the offer as the rules say, but for the patience, which follows the class: `outcome.budget_us` is to be
-  // applied after it. Counts the call in `state`.
-  Verdict Apply(core::CallRequest* offer, const CallFacts& facts, const expr::Moment& moment,
-                expr::RuleState* state) const;
+  // Changes the call request as the rules say and counts the call in `state`. The caller timeout is left to the caller
+  // of this function: it depends on the class, and `outcome.budget_us` has to be applied after that.
+  Result Apply(core::CallRequest* call_request, const CallFacts& facts, const expr::Moment& moment,
+               expr::RuleState* state) const;
   const expr::RuleSet& rules() const { return rules_; }
 
  private:
-  struct Known {
-    int exchange = 0, zone = 0;  // words of the enumerations
+  struct ExchangeWords {
+    int exchange = 0, zone = 0;  // indexes in the enumerations of the schema
   };
   expr::RuleSet rules_;
-  std::unordered_map<int, Known> places_;  // by number of the exchange
+  std::unordered_map<int, ExchangeWords> words_by_exchange_;  // by exchange number
 };
 
 }  // namespace croftrun::edge
--- a/src/edge/edge_node.cpp
+++ b/src/edge/edge_node.cpp
@@ -7,10 +7,10 @@
 namespace croftrun::edge {
 namespace {
 
-constexpr TimeUs kStopPoll = 20'000;
-constexpr TimeUs kTellOfStrangers = 10'000'000;
+constexpr TimeUs kShutdownPollInterval = 20'000;
+constexpr TimeUs kUnknownHostLogInterval = 10'000'000;
 
-core::CoreSettings CoreSettingsOf(const EdgeSettings& settings, core::Runtime* runtime) {
+core::CoreSettings MakeCoreSettings(const EdgeSettings& settings, core::Runtime* runtime) {
   core::CoreSettings core = settings.core;
   core.seed = settings.seed ? *settings.seed : runtime->Random();
   return core;
@@ -22,17 +22,18 @@
     : settings_(settings),
       runtime_(runtime),
       log_(log),
-      transactions_(runtime, settings.listen, settings.transactions,
-                    [this](auto command, const auto& from, const auto& message) { OnCommand(command, from, message); }),
-      core_(CoreSettingsOf(settings, runtime), runtime, log),
+      transactions_(
+          runtime, settings.listen, settings.transactions,
+          [this](auto command, const auto& from, const auto& message) { HandleCommand(command, from, message); }),
+      core_(MakeCoreSettings(settings, runtime), runtime, log),
       admission_front_(settings.admission, settings.core.answer_margin_us, runtime, &core_),
       lines_(settings, runtime, &core_, &admission_front_, &transactions_, log),
       trunks_(settings, runtime, &core_, &transactions_),
-      stopping_(runtime),
-      strangers_(runtime) {
+      shutdown_timer_(runtime),
+      unknown_hosts_timer_(runtime) {
   transactions_.SetKnownHosts({settings_.gateway.host},
                               [this](const mgcp::Message& message) { return InUse(message); });
-  TellOfStrangers();
+  LogUnknownHosts();
   core_.SetTrunks(&trunks_);
   core_.SetLineDriver(&lines_);
   if (settings_.roster) roster_ = std::make_unique<RosterClient>(*settings_.roster, runtime, &core_, log);
@@ -50,95 +51,97 @@
   return circuit && trunks_.InUse(circuit->group, circuit->circuit);
 }
 
-void EdgeNode::TellOfStrangers() {
-  const mgcp::StrangerCounters& s = transactions_.strangers();
-  const std::uint64_t heard = s.commands + s.responses + s.malformed;
-  if (heard > strangers_told_)
+void EdgeNode::LogUnknownHosts() {
+  const mgcp::StrangerCounters& unknown = transactions_.strangers();
+  const std::uint64_t total = unknown.commands + unknown.responses + unknown.malformed;
+  if (total > unknown_host_datagrams_logged_)
     log_->Write(core::LogLevel::kWarning, "strangers", 0,
-                std::to_string(heard - strangers_told_) + " datagrams from addresses that are no gateway of this edge");
-  strangers_told_ = heard;
-  strangers_.Start(kTellOfStrangers, [this] { TellOfStrangers(); });
+                std::to_string(total - unknown_host_datagrams_logged_) +
+                    " datagrams from addresses other than this edge's gateway");
+  unknown_host_datagrams_logged_ = total;
+  unknown_hosts_timer_.Start(kUnknownHostLogInterval, [this] { LogUnknownHosts(); });
 }
 
-void EdgeNode::OnCommand(mgcp::Transactions::CommandId command, const core::Address& from,
-                         const mgcp::Message& message) {
-  // Only the own gateway gets as far as here (SetKnownHosts), or somebody in its name: what no gateway would send costs
-  // nothing that lasts.
+void EdgeNode::HandleCommand(mgcp::Transactions::CommandId command, const core::Address& from,
+                             const mgcp::Message& message) {
+  // SetKnownHosts lets only commands from the gateway's address through, which may be forged. A command that no gateway
+  // would send must therefore leave no lasting state behind.
   if (from.host != settings_.gateway.host || !mgcp::EqualsIgnoringCase(message.endpoint.domain, settings_.domain))
     return transactions_.Reject(command, mgcp::kUnknownEndpoint, "not an endpoint of this call agent's gateway");
   if (message.verb == mgcp::Verb::kRsip) {
     transactions_.Respond(command, mgcp::kOk);
     log_->Write(core::LogLevel::kWarning, "restart-in-progress", 0,
                 std::string(message.Get("RM")) + " " + std::string(message.endpoint.local));
-    lines_.OnRestart(message);
-    trunks_.OnRestart(message);
+    lines_.HandleRestart(message);
+    trunks_.HandleRestart(message);
     return;
   }
   if (message.verb != mgcp::Verb::kNtfy)
     return transactions_.Reject(command, mgcp::kUnsupportedCommand, "a call agent takes NTFY and RSIP");
   if (message.endpoint.local.substr(0, wire_names::kLines.size()) == wire_names::kLines) {
-    lines_.OnNotify(command, message);
+    lines_.HandleNotify(command, message);
   } else {
-    trunks_.OnNotify(command, message);
+    trunks_.HandleNotify(command, message);
   }
 }
 
 void EdgeNode::Stop(std::function<void()> done) {
   core_.StopAcceptingCalls();
-  admission_front_.StopTaking();
-  log_->Write(core::LogLevel::kInfo, "stopping", 0, std::to_string(core_.open_calls()) + " calls up");
-  WaitForCalls(runtime_->Now() + settings_.shutdown_limit_us, std::move(done));
+  admission_front_.StopAcceptingCalls();
+  log_->Write(core::LogLevel::kInfo, "stopping", 0, std::to_string(core_.open_calls()) + " calls in progress");
+  WaitForCalls(runtime_->Now() + settings_.shutdown_timeout_us, std::move(done));
 }
 
-void EdgeNode::WaitForCalls(TimeUs until, std::function<void()> done) {
-  if (core_.open_calls() > 0 && runtime_->Now() >= until) core_.EndAllCalls(core::ReleaseCause::kTemporaryFailure);
+void EdgeNode::WaitForCalls(TimeUs deadline, std::function<void()> done) {
+  if (core_.open_calls() > 0 && runtime_->Now() >= deadline) core_.EndAllCalls(core::ReleaseCause::kTemporaryFailure);
   if (core_.open_calls() == 0) return done();
-  stopping_.Start(kStopPoll, [this, until, done = std::move(done)] { WaitForCalls(until, done); });
+  shutdown_timer_.Start(kShutdownPollInterval,
+                        [this, deadline, done = std::move(done)] { WaitForCalls(deadline, done); });
 }
 
 nlohmann::json EdgeNode::Metrics() const {
-  const core::CoreCounters& c = core_.counters();
-  const mgcp::TransactionCounters& t = transactions_.counters();
-  const TrunkGateway::Counters& k = trunks_.counters();
-  const LineFront::Counters& l = lines_.counters();
+  const core::CoreCounters& core_counters = core_.counters();
+  const mgcp::TransactionCounters& transaction_counters = transactions_.counters();
+  const TrunkGateway::Counters& trunk_counters = trunks_.counters();
+  const LineFront::Counters& line_counters = lines_.counters();
   nlohmann::json metrics = {{"calls",
                              {{"open", core_.open_calls()},
-                              {"offered", c.offered},
-                              {"incoming", c.incoming},
-                              {"terminating", c.terminating},
-                              {"stands", c.stands},
-                              {"refused", c.refused},
-                              {"failed", c.failed},
-                              {"hung_up", c.hung_up},
-                              {"ended", c.ended},
-                              {"cut", c.cut},
-                              {"attempts", c.attempts},
-                              {"moot", c.moot},
-                              {"timeouts", c.timeouts},
-                              {"refused_full", c.refused_full},
-                              {"refused_stopping", c.refused_stopping},
-                              {"refused_overload", c.refused_overload},
-                              {"refused_door", c.refused_door},
-                              {"overdue", c.overdue},
-                              {"glare", c.glare},
-                              {"not_in_service", c.not_in_service},
-                              {"refused_by_far_end", c.refused_by_far_end},
-                              {"suspected", c.suspected},
-                              {"too_late", c.too_late},
-                              {"stale_answers", c.stale_answers}}},
+                              {"offered", core_counters.offered},
+                              {"incoming", core_counters.incoming},
+                              {"terminating", core_counters.terminating},
+                              {"stands", core_counters.stands},
+                              {"refused", core_counters.refused},
+                              {"failed", core_counters.failed},
+                              {"hung_up", core_counters.hung_up},
+                              {"ended", core_counters.ended},
+                              {"cut", core_counters.cut},
+                              {"attempts", core_counters.attempts},
+                              {"moot", core_counters.moot},
+                              {"timeouts", core_counters.timeouts},
+                              {"refused_full", core_counters.refused_full},
+                              {"refused_stopping", core_counters.refused_stopping},
+                              {"refused_overload", core_counters.refused_overload},
+                              {"refused_door", core_counters.refused_door},
+                              {"overdue", core_counters.overdue},
+                              {"glare", core_counters.glare},
+                              {"not_in_service", core_counters.not_in_service},
+                              {"refused_by_far_end", core_counters.refused_by_far_end},
+                              {"suspected", core_counters.suspected},
+                              {"too_late", core_counters.too_late},
+                              {"stale_answers", core_counters.stale_answers}}},
                             {"transactions",
                              {{"pending", transactions_.pending()},
                               {"history", transactions_.history()},
-                              {"sent", t.sent},
-                              {"repeated", t.repeated},
-                              {"answered", t.answered},
-                              {"given_up", t.given_up},
-                              {"received", t.received},
-                              {"received_again", t.received_again},
-                              {"malformed", t.malformed},
-                              {"unknown_responses", t.unknown_responses},
-                              {"refused_full", t.refused_full},
-                              {"postponed", t.postponed}}},
+                              {"sent", transaction_counters.sent},
+                              {"repeated", transaction_counters.repeated},
+                              {"answered", transaction_counters.answered},
+                              {"given_up", transaction_counters.given_up},
+                              {"received", transaction_counters.received},
+                              {"received_again", transaction_counters.received_again},
+                              {"malformed", transaction_counters.malformed},
+                              {"unknown_responses", transaction_counters.unknown_responses},
+                              {"refused_full", transaction_counters.refused_full},
+                              {"postponed", transaction_counters.postponed}}},
                             {"strangers",
                              {{"commands", transactions_.strangers().commands},
                               {"responses", transactions_.strangers().responses},
@@ -147,43 +150,43 @@
                             {"trunks",
                              {{"legs", trunks_.legs()},
                               {"releasing", trunks_.releasing()},
-                              {"seized", k.seized},
-                              {"released", k.released},
-                              {"incoming", k.incoming},
-                              {"refused_incoming", k.refused_incoming},
-                              {"audits", k.audits},
-                              {"cleared", k.cleared},
-                              {"late_seizures", k.late_seizures},
-                              {"stale_events", k.stale_events},
-                              {"restarts", k.restarts},
-                              {"signs_of_life", k.signs_of_life},
-                              {"out_of_service", k.out_of_service}}},
+                              {"seized", trunk_counters.seized},
+                              {"released", trunk_counters.released},
+                              {"incoming", trunk_counters.incoming},
+                              {"refused_incoming", trunk_counters.refused_incoming},
+                              {"audits", trunk_counters.audits},
+                              {"cleared", trunk_counters.cleared},
+                              {"late_seizures", trunk_counters.late_seizures},
+                              {"stale_events", trunk_counters.stale_events},
+                              {"restarts", trunk_counters.restarts},
+                              {"signs_of_life", trunk_counters.signs_of_life},
+                              {"out_of_service", trunk_counters.out_of_service}}},
                             {"lines",
-                             {{"dialled", l.dialled},
-                              {"unallocated", l.unallocated},
-                              {"stale_digits", l.stale_digits},
-                              {"refused_by_rule", l.refused_by_rule},
-                              {"refused_in_answer", l.refused_in_answer},
-                              {"rung", l.rung},
-                              {"ignored_events", l.ignored_events},
-                              {"restarts", l.restarts}}}};
+                             {{"dialled", line_counters.dialled},
+                              {"unallocated", line_counters.unallocated},
+                              {"stale_digits", line_counters.stale_digits},
+                              {"refused_by_rule", line_counters.refused_by_rule},
+                              {"refused_in_answer", line_counters.refused_in_answer},
+                              {"rung", line_counters.rung},
+                              {"ignored_events", line_counters.ignored_events},
+                              {"restarts", line_counters.restarts}}}};
   if (const admission::AdmissionController* admission = admission_front_.admission()) {
-    const admission::AdmissionController::Counters& d = admission->counters();
+    const admission::AdmissionController::Counters& admission_counters = admission->counters();
     metrics["door"] = {{"waiting", admission->waiting()},
                        {"under_way", admission->under_way()},
                        {"limit", admission->limit()},
                        {"table_bytes", admission->table_bytes()},
-                       {"knocks", d.requests},
-                       {"admitted", d.admitted},
-                       {"waited", d.waited},
-                       {"refused", d.refused},
-                       {"early", d.early},
-                       {"overdue", d.overdue},
-                       {"gave_way", d.gave_way},
-                       {"over_limit", d.over_limit},
-                       {"promised", d.promised},
-                       {"as_told", d.as_told},
-                       {"as_told_admitted", d.as_told_admitted}};
+                       {"knocks", admission_counters.requests},
+                       {"admitted", admission_counters.admitted},
+                       {"waited", admission_counters.waited},
+                       {"refused", admission_counters.refused},
+                       {"early", admission_counters.early},
+                       {"overdue", admission_counters.overdue},
+                       {"gave_way", admission_counters.gave_way},
+                       {"over_limit", admission_counters.over_limit},
+                       {"promised", admission_counters.promised},
+                       {"as_told", admission_counters.as_told},
+                       {"as_told_admitted", admission_counters.as_told_admitted}};
   }
   for (const core::GroupSettings& group : settings_.core.groups) {
     const core::CircuitGroup* circuits = core_.Group(group.number);
@@ -201,22 +204,22 @@
           {"counted", counter.counted}, {"displaced", counter.displaced}, {"bytes", counter.bytes}};
   }
   if (api_) {
-    const ws::SessionManager::Counters& a = api_->session_manager().counters();
+    const ws::SessionManager::Counters& api_counters = api_->session_manager().counters();
     metrics["api"] = {{"connections_open", api_->session_manager().connections()},
                       {"sessions_open", api_->session_manager().sessions()},
-                      {"connections", a.connections},
-                      {"hellos", a.hellos},
-                      {"denied", a.denied},
-                      {"sessions", a.sessions},
-                      {"resumed", a.resumed},
-                      {"expired", a.expired},
-                      {"commands", a.commands},
-                      {"repeated", a.repeated},
-                      {"mistakes", a.mistakes},
-                      {"over_rate", a.over_rate},
-                      {"placed", a.placed},
-                      {"slow_readers", a.slow_readers},
-                      {"lost_events", a.lost_events}};
+                      {"connections", api_counters.connections},
+                      {"hellos", api_counters.hellos},
+                      {"denied", api_counters.denied},
+                      {"sessions", api_counters.sessions},
+                      {"resumed", api_counters.resumed},
+                      {"expired", api_counters.expired},
+                      {"commands", api_counters.commands},
+                      {"repeated", api_counters.repeated},
+                      {"mistakes", api_counters.mistakes},
+                      {"over_rate", api_counters.over_rate},
+                      {"placed", api_counters.placed},
+                      {"slow_readers", api_counters.slow_readers},
+                      {"lost_events", api_counters.lost_events}};
   }
   if (roster_) {
     metrics["roster"] = {{"version", roster_->version()},
--- a/src/edge/edge_node.h
+++ b/src/edge/edge_node.h
@@ -1,5 +1,5 @@
-// One edge, whole, on a Runtime: core, MGCP fronts and roster client. The program around it only adds the sockets'
-// runtime, the signals and the log file; tests run it on virtual time.
+// The call agent of one exchange on a Runtime: core, MGCP fronts, API front and roster client. The program adds only
+// the runtime on sockets, the signal handling and the log file; tests run the same code on virtual time.
 #ifndef CROFTRUN_EDGE_EDGE_NODE_H_
 #define CROFTRUN_EDGE_EDGE_NODE_H_
 
@@ -17,37 +17,39 @@
 
 namespace croftrun::edge {
 
+// Owns the parts of one call agent and routes the commands of its gateway to them.
 class EdgeNode {
  public:
-  // Binds its ports (throws std::system_error) and starts: circuits are audited, lines armed, the roster asked for.
-  // `settings`, `runtime` and `log` outlive it.
+  // Binds the ports (throws std::system_error), starts the audit of all circuits, arms the lines and requests the
+  // roster. `settings`, `runtime` and `log` must outlive this object.
   EdgeNode(const EdgeSettings& settings, core::Runtime* runtime, core::Logger* log);
 
-  // Takes no more calls; `done` comes when none is left, or when the limit has passed and what was left was ended.
+  // Stops accepting calls. Calls `done` once no call is left; calls still open when the shutdown limit has passed are
+  // released first.
   void Stop(std::function<void()> done);
-  // New rules, whole, from the next call on.
+  // Replaces all rules, from the next call on.
   void SetClassifier(std::shared_ptr<const Classifier> classifier) { lines_.SetClassifier(std::move(classifier)); }
   void SetCustomers(const std::vector<admission::CustomerSettings>& customers) {
     admission_front_.SetCustomers(customers);
   }
   std::uint32_t rules_version() const { return lines_.rules_version(); }
-  // Every counter, by part.
+  // Returns all counters, grouped by part.
   nlohmann::json Metrics() const;
 
   core::CallCore& core() { return core_; }
-  // Null where the settings have no api.
+  // Returns null if the settings have no API section.
   ws::SessionManager* session_manager() { return api_ ? &api_->session_manager() : nullptr; }
   const mgcp::Transactions& transactions() const { return transactions_; }
   const TrunkGateway& trunks() const { return trunks_; }
   const RosterClient* roster() const { return roster_.get(); }
 
  private:
-  void OnCommand(mgcp::Transactions::CommandId command, const core::Address& from, const mgcp::Message& message);
-  // Whether a call is in progress at the endpoint that a command names.
+  void HandleCommand(mgcp::Transactions::CommandId command, const core::Address& from, const mgcp::Message& message);
+  // Returns true if a call is in progress at the endpoint that the command names.
   bool InUse(const mgcp::Message& message) const;
-  // One line at most in each span says how many datagrams came from strangers.
-  void TellOfStrangers();
-  void WaitForCalls(TimeUs until, std::function<void()> done);
+  // Logs the number of datagrams from unknown hosts, at most once per interval.
+  void LogUnknownHosts();
+  void WaitForCalls(TimeUs deadline, std::function<void()> done);
 
   const EdgeSettings& settings_;
   core::Runtime* runtime_;
@@ -59,8 +61,8 @@
   TrunkGateway trunks_;
   std::unique_ptr<RosterClient> roster_;
   std::unique_ptr<ApiFront> api_;
-  core::Timer stopping_, strangers_;
-  std::uint64_t strangers_told_ = 0;
+  core::Timer shutdown_timer_, unknown_hosts_timer_;
+  std::uint64_t unknown_host_datagrams_logged_ = 0;
 };
 
 }  // namespace croftrun::edge
--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -12,7 +12,7 @@
 using config::Value;
 using nlohmann::json;
 
-constexpr TimeUs kMs = 1000;
+constexpr TimeUs kUsPerMs = 1000;
 
 const std::map<std::string, ReportField>& ReportFields() {
   static const std::map<std::string, ReportField> kFields = {
@@ -22,10 +22,10 @@
   return kFields;
 }
 
-// Reads what the schema has checked, and collects what a schema cannot say.
-class Reader {
+// Converts settings that conform to the schema, and checks what a schema cannot express.
+class SettingsReader {
  public:
-  explicit Reader(std::vector<config::Mistake>* mistakes) : mistakes_(mistakes) {}
+  explicit SettingsReader(std::vector<config::Mistake>* mistakes) : mistakes_(mistakes) {}
 
   EdgeSettings Read(const json& file) {
     EdgeSettings s;
@@ -48,12 +48,12 @@
   }
 
  private:
-  void Mistake(std::string path, std::string text) { mistakes_->push_back({std::move(path), std::move(text)}); }
+  void AddMistake(std::string path, std::string text) { mistakes_->push_back({std::move(path), std::move(text)}); }
 
-  void Address(const json& object, const std::string& where, const char* key, core::Address* out) {
+  void Address(const json& object, const std::string& path, const char* key, core::Address* out) {
     const auto text = object.at(key).get<std::string>();
     if (!core::ParseAddress(text, out))
-      Mistake(where + "/" + key, "expected an IPv4 address and port such as 127.0.0.1:2727, found \"" + text + "\"");
+      AddMistake(path + "/" + key, "expected an IPv4 address and port such as 127.0.0.1:2727, found \"" + text + "\"");
   }
 
   void ReadAgent(const json& file, EdgeSettings* s) {
@@ -63,13 +63,13 @@
     Address(agent, "/agent", "listen", &s->listen);
     Value(agent, "most_calls", &s->core.max_calls);
     Time(agent, "answer_margin_ms", &s->core.answer_margin_us);
-    Time(agent, "shutdown_limit_ms", &s->shutdown_limit_us);
-    Time(agent, "audit_ms", &s->audit_us);
+    Time(agent, "shutdown_limit_ms", &s->shutdown_timeout_us);
+    Time(agent, "audit_ms", &s->audit_interval_us);
     if (agent.contains("seed")) s->seed = agent.at("seed").get<std::uint64_t>();
     Address(file.at("gateway"), "/gateway", "address", &s->gateway);
     s->domain = file.at("gateway").at("domain").get<std::string>();
     if (s->domain.find_first_of("@/ \t") != std::string::npos)
-      Mistake("/gateway/domain", "expected a domain name, found \"" + s->domain + "\"");
+      AddMistake("/gateway/domain", "expected a domain name, found \"" + s->domain + "\"");
     if (file.contains("lines")) {
       const json& lines = file.at("lines");
       Value(lines, "count", &s->lines.count);
@@ -77,13 +77,14 @@
       Value(lines, "number_digits", &s->lines.number_digits);
       Value(lines, "digit_map", &s->lines.digit_map);
       if (!mgcp::DigitMap::Parse(s->lines.digit_map))
-        Mistake("/lines/digit_map", "expected a digit map as in RFC 3435 2.1.5, found \"" + s->lines.digit_map + "\"");
+        AddMistake("/lines/digit_map",
+                   "expected a digit map as in RFC 3435 2.1.5, found \"" + s->lines.digit_map + "\"");
     }
     if (file.contains("roster")) {
       RosterSettings roster;
       Address(file.at("roster"), "/roster", "server", &roster.server);
       Address(file.at("roster"), "/roster", "listen", &roster.listen);
-      Time(file.at("roster"), "ask_ms", &roster.ask_us);
+      Time(file.at("roster"), "ask_ms", &roster.renewal_interval_us);
       s->roster = roster;
     }
   }
@@ -95,7 +96,7 @@
       CallClass c;
       c.name = entry.at("name").get<std::string>();
       if (!classes_.emplace(c.name, static_cast<int>(index)).second)
-        Mistake(path + "/name", "class \"" + c.name + "\" is there already");
+        AddMistake(path + "/name", "expected each class name once, found \"" + c.name + "\" again");
       Time(entry, "aim_ms", &c.target_delay_us);
       Time(entry, "give_up_ms", &c.deadline_us);
       Value(entry, "worth", &c.worth);
@@ -106,7 +107,7 @@
       c.retry_semantics = repeat == "deduplicated"   ? RetrySemantics::kDeduplicated
                           : repeat == "at-most-once" ? RetrySemantics::kAtMostOnce
                                                      : RetrySemantics::kIdempotent;
-      if (c.target_delay_us > c.deadline_us) Mistake(path + "/aim_ms", "expected at most give_up_ms, found more");
+      if (c.target_delay_us > c.deadline_us) AddMistake(path + "/aim_ms", "expected at most give_up_ms, found more");
       s->class_names.push_back(c.name);
       s->core.module.classes.push_back(c);
       ++index;
@@ -122,14 +123,15 @@
       customer.name = entry.at("name").get<std::string>();
       Value(entry, "quota_per_s", &customer.quota_per_s);
       if (!customers_.emplace(customer.name, static_cast<int>(index)).second)
-        Mistake("/customers/" + std::to_string(index) + "/name", "customer \"" + customer.name + "\" is there already");
+        AddMistake("/customers/" + std::to_string(index) + "/name",
+                   "expected each customer name once, found \"" + customer.name + "\" again");
       s->core.module.customers.push_back(customer);
       ++index;
     }
   }
 
   void ReadGroups(const json& file, EdgeSettings* s) {
-    std::map<int, std::size_t> seen;
+    std::map<int, std::size_t> group_indexes;
     std::size_t index = 0;
     for (const json& entry : file.at("groups")) {
       const std::string path = "/groups/" + std::to_string(index);
@@ -137,9 +139,10 @@
       group.number = entry.at("exchange").get<int>();
       group.circuits = entry.at("circuits").get<std::size_t>();
       if (group.number == s->core.module.own_number)
-        Mistake(path + "/exchange", "expected another exchange, found this one");
-      if (!seen.emplace(group.number, index).second)
-        Mistake(path + "/exchange", "exchange " + std::to_string(group.number) + " has a group already");
+        AddMistake(path + "/exchange", "expected another exchange, found this one");
+      if (!group_indexes.emplace(group.number, index).second)
+        AddMistake(path + "/exchange",
+                   "expected one group for exchange " + std::to_string(group.number) + ", found another");
       s->core.groups.push_back(group);
       ++index;
     }
@@ -151,54 +154,55 @@
       const std::string path = "/plan/" + std::to_string(index++);
       core::NumberMeaning meaning;
       meaning.destination = entry.at("exchange").get<int>();
-      meaning.call_class = Look(classes_, entry, "class", path);
-      if (entry.contains("customer")) meaning.customer = Look(customers_, entry, "customer", path);
+      meaning.call_class = FindByName(classes_, entry, "class", path);
+      if (entry.contains("customer")) meaning.customer = FindByName(customers_, entry, "customer", path);
       const auto prefix = entry.at("prefix").get<std::string>();
-      if (!s->plan.Add(prefix, meaning)) Mistake(path + "/prefix", "prefix " + prefix + " is there already");
+      if (!s->plan.Add(prefix, meaning))
+        AddMistake(path + "/prefix", "expected each prefix once, found " + prefix + " again");
     }
   }
 
   void ReadRules(const json& file, EdgeSettings* s) {
     std::size_t place_index = 0;
     for (const json& entry : file.value("places", json::array())) {
-      const std::string where = "/places/" + std::to_string(place_index++);
+      const std::string path = "/places/" + std::to_string(place_index++);
       Place place{entry.at("exchange").get<int>(), entry.at("name").get<std::string>(),
                   entry.at("zone").get<std::string>()};
       for (const Place& known : s->places) {
         if (known.exchange == place.exchange || known.name == place.name)
-          Mistake(where, "expected each exchange and each name once, found " + place.name + " for exchange " +
-                             std::to_string(place.exchange));
+          AddMistake(path, "expected each exchange and each name once, found " + place.name + " for exchange " +
+                               std::to_string(place.exchange));
       }
       s->places.push_back(std::move(place));
     }
     std::string text, path = "/rules/";
     if (file.contains("rules") && file.contains("rules_file"))
-      return Mistake("/rules_file", "expected either rules or rules_file, found both");
+      return AddMistake("/rules_file", "expected either rules or rules_file, found both");
     if (file.contains("rules_file")) {
       const auto name = file.at("rules_file").get<std::string>();
-      std::vector<config::Mistake> unread;
-      text = config::ReadFile(name, expr::Limits().most_octets, &unread);
-      for (const config::Mistake& mistake : unread) Mistake("/rules_file", name + ": " + mistake.text);
-      if (!unread.empty()) return;
+      std::vector<config::Mistake> read_errors;
+      text = config::ReadFile(name, expr::Limits().most_octets, &read_errors);
+      for (const config::Mistake& mistake : read_errors) AddMistake("/rules_file", name + ": " + mistake.text);
+      if (!read_errors.empty()) return;
       path = "/rules_file " + name + ":";
     } else if (!file.contains("rules")) {
       return;
     } else {
       for (const json& line : file.at("rules")) text += line.get<std::string>() + "\n";
     }
-    const bool lines_of_list = path == "/rules/";  // those are counted from 0, as in the rest of the paths
-    std::vector<expr::Mistake> faults;
-    s->classifier = Classifier::Make(text, s->class_names, CustomerNames(*s), &faults, s->places);
-    for (const expr::Mistake& fault : faults)
-      Mistake(path + std::to_string(fault.line - (lines_of_list ? 1 : 0)),
-              "column " + std::to_string(fault.column) + ": " + fault.text + "\n" + fault.shown);
+    const bool rules_are_inline = path == "/rules/";  // lines of the list are counted from 0, as in other paths
+    std::vector<expr::Mistake> rule_errors;
+    s->classifier = Classifier::Make(text, s->class_names, CustomerNames(*s), &rule_errors, s->places);
+    for (const expr::Mistake& error : rule_errors)
+      AddMistake(path + std::to_string(error.line - (rules_are_inline ? 1 : 0)),
+                 "column " + std::to_string(error.column) + ": " + error.text + "\n" + error.shown);
   }
 
   void ReadApi(const json& a, EdgeSettings* s) {
     ApiSettings api;
     Address(a, "/api", "listen", &api.listen);
     Value(a, "token_keys_file", &api.token_keys_file);
-    Value(a, "most_connections", &api.most_connections);
+    Value(a, "most_connections", &api.max_connections);
     Value(a, "accepts_per_s", &api.accepts_per_s);
     Time(a, "idle_ms", &api.idle_us);
     Value(a, "most_sessions", &api.session_manager.most_sessions);
@@ -212,7 +216,7 @@
       std::vector<config::Mistake> mistakes;
       api.session_manager.token_keys = ReadTokenKeys(api.token_keys_file, &mistakes);
       for (const config::Mistake& mistake : mistakes)
-        Mistake("/api/token_keys_file", mistake.path + ": " + mistake.text);
+        AddMistake("/api/token_keys_file", mistake.path + ": " + mistake.text);
     }
     s->api = std::move(api);
   }
@@ -234,8 +238,9 @@
     Time(d, "prove_ms", &admission.clients.verify_us);
     Time(d, "least_pause_ms", &admission.least_pause_us);
     if (admission.limiter.least > admission.limiter.most)
-      Mistake("/door/least_limit", "expected no more than most_limit, found more");
-    // A pause is stated as the site allows, or not at all.
+      AddMistake("/door/least_limit", "expected no more than most_limit, found more");
+    // A retry-after is stated up to the limit of the network settings, or not at all if
+    // retry-after is not honoured.
     const Settings& m = s->core.module;
     admission.longest_pause_us = m.honours_retry_after ? m.max_retry_after_us : 0;
     if (file.contains("customers")) {
@@ -252,8 +257,8 @@
 
   void ReadTls(const json& entry, const std::string& path, const std::string& transport, flow::TlsFiles* tls) {
     if (entry.contains("tls") != (transport == "tls")) {
-      Mistake(path + "/tls", transport == "tls" ? "expected authorities at least, found nothing"
-                                                : "expected transport tls beside it, found " + transport);
+      AddMistake(path + "/tls", transport == "tls" ? "expected at least authorities, found nothing"
+                                                   : "expected transport tls with it, found " + transport);
       return;
     }
     if (!entry.contains("tls")) return;
@@ -263,7 +268,7 @@
     Value(t, "key", &tls->key);
     Value(t, "name", &tls->name);
     if (tls->certificate.empty() != tls->key.empty())
-      Mistake(path + "/tls", "expected certificate and key together, found one of them");
+      AddMistake(path + "/tls", "expected certificate and key together, found one of them");
   }
 
   void ReadSpool(const json& entry, flow::CollectorSettings* c) {
@@ -285,7 +290,7 @@
     const json& f = file.at("flow");
     FlowSettings flow;
     const auto exchange = static_cast<std::uint32_t>(s->core.module.own_number);
-    Value(f, "ring", &flow.ring);
+    Value(f, "ring", &flow.ring_capacity);
     flow.recorder.exchange = flow.exporter.exchange = exchange;
     flow.recorder.most_open = s->core.max_calls;
     Time(f, "interval_ms", &flow.recorder.interval_us);
@@ -300,15 +305,16 @@
       const std::string path = "/flow/collectors/" + std::to_string(index++);
       flow::CollectorSettings c;
       if (!core::ParseAddress(entry.at("address").get<std::string>(), &c.address))
-        Mistake(path + "/address",
-                "expected an address as 127.0.0.1:4739, found \"" + entry.at("address").get<std::string>() + "\"");
+        AddMistake(path + "/address", "expected an address such as 127.0.0.1:4739, found \"" +
+                                          entry.at("address").get<std::string>() + "\"");
       const std::string transport = entry.value("transport", "udp");
       c.transport = transport == "tcp"   ? flow::Transport::kTcp
                     : transport == "tls" ? flow::Transport::kTls
                                          : flow::Transport::kUdp;
       c.protocol = entry.value("protocol", "ipfix") == "netflow9" ? flow::Protocol::kNetflow9 : flow::Protocol::kIpfix;
       if (c.transport != flow::Transport::kUdp && c.protocol == flow::Protocol::kNetflow9)
-        Mistake(path + "/protocol", "expected ipfix over " + transport + ", found netflow9, which goes over udp only");
+        AddMistake(path + "/protocol",
+                   "expected ipfix over " + transport + ", found netflow9, which is supported over udp only");
       Value(entry, "queue", &c.queue);
       Value(entry, "message_octets", &c.most_octets);
       Time(entry, "template_refresh_ms", &c.template_refresh_us);
@@ -319,21 +325,21 @@
       ReadSpool(entry, &c);
       for (const flow::CollectorSettings& other : flow.exporter.collectors) {
         if (c.spool && other.spool && c.spool->folder == other.spool->folder)
-          Mistake(path + "/spool/folder",
-                  "expected a folder of its own, found \"" + c.spool->folder + "\", which another collector has");
+          AddMistake(path + "/spool/folder",
+                     "expected a folder of its own, found \"" + c.spool->folder + "\", which another collector has");
       }
       flow.exporter.collectors.push_back(c);
     }
     s->flow = std::move(flow);
   }
 
-  int Look(const std::map<std::string, int>& names, const json& entry, const char* key, const std::string& path) {
+  int FindByName(const std::map<std::string, int>& names, const json& entry, const char* key, const std::string& path) {
     const auto name = entry.at(key).get<std::string>();
     const auto found = names.find(name);
     if (found != names.end()) return found->second;
     std::string known;
     for (const auto& [other, number] : names) known += (known.empty() ? "" : ", ") + other;
-    Mistake(path + "/" + key, "expected one of " + known + ", found \"" + name + "\"");
+    AddMistake(path + "/" + key, "expected one of " + known + ", found \"" + name + "\"");
     return 0;
   }
 
@@ -382,21 +388,21 @@
 }
 
 std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::Mistake>* mistakes) {
-  constexpr std::size_t kMostKeyBytes = 64U << 10U, kShortest = 16, kMostKeys = 16;
+  constexpr std::size_t kMaxKeyFileOctets = 64U << 10U, kMinKeyOctets = 16, kMaxKeys = 16;
   std::vector<std::string> keys;
-  std::istringstream text(config::ReadFile(file, kMostKeyBytes, mistakes));
+  std::istringstream text(config::ReadFile(file, kMaxKeyFileOctets, mistakes));
   std::string line;
   for (std::size_t number = 1; std::getline(text, line); ++number) {
     if (line.empty() || line[0] == '#') continue;
-    if (line.size() < kShortest)
+    if (line.size() < kMinKeyOctets)
       mistakes->push_back({file + ":" + std::to_string(number), "expected a key of at least " +
-                                                                    std::to_string(kShortest) + " octets, found " +
+                                                                    std::to_string(kMinKeyOctets) + " octets, found " +
                                                                     std::to_string(line.size())});
     keys.push_back(line);
   }
-  if (mistakes->empty() && (keys.empty() || keys.size() > kMostKeys))
+  if (mistakes->empty() && (keys.empty() || keys.size() > kMaxKeys))
     mistakes->push_back(
-        {file, "expected 1 to " + std::to_string(kMostKeys) + " keys, found " + std::to_string(keys.size())});
+        {file, "expected 1 to " + std::to_string(kMaxKeys) + " keys, found " + std::to_string(keys.size())});
   return keys;
 }
 
@@ -405,63 +411,63 @@
 EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::Mistake>* mistakes) {
   const json file = config::ParseAgainst(text, EdgeSchema(), mistakes);
   if (!mistakes->empty()) return {};
-  return Reader(mistakes).Read(file);
+  return SettingsReader(mistakes).Read(file);
 }
 
 json ShowEdgeSettings(const EdgeSettings& s) {
   const Settings& m = s.core.module;
-  json shown;
-  shown["exchange"] = {{"number", m.own_number}, {"zone", m.own_zone}};
-  shown["agent"] = {{"listen", core::ToString(s.listen)},
-                    {"most_calls", s.core.max_calls},
-                    {"answer_margin_ms", s.core.answer_margin_us / kMs},
-                    {"shutdown_limit_ms", s.shutdown_limit_us / kMs},
-                    {"audit_ms", s.audit_us / kMs}};
-  shown["gateway"] = {{"address", core::ToString(s.gateway)}, {"domain", s.domain}};
-  shown["lines"] = {{"count", s.lines.count},
-                    {"number_prefix", s.lines.number_prefix},
-                    {"number_digits", s.lines.number_digits},
-                    {"digit_map", s.lines.digit_map}};
-  shown["groups"] = json::array();
+  json result;
+  result["exchange"] = {{"number", m.own_number}, {"zone", m.own_zone}};
+  result["agent"] = {{"listen", core::ToString(s.listen)},
+                     {"most_calls", s.core.max_calls},
+                     {"answer_margin_ms", s.core.answer_margin_us / kUsPerMs},
+                     {"shutdown_limit_ms", s.shutdown_timeout_us / kUsPerMs},
+                     {"audit_ms", s.audit_interval_us / kUsPerMs}};
+  result["gateway"] = {{"address", core::ToString(s.gateway)}, {"domain", s.domain}};
+  result["lines"] = {{"count", s.lines.count},
+                     {"number_prefix", s.lines.number_prefix},
+                     {"number_digits", s.lines.number_digits},
+                     {"digit_map", s.lines.digit_map}};
+  result["groups"] = json::array();
   for (const auto& group : s.core.groups)
-    shown["groups"].push_back({{"exchange", group.number}, {"circuits", group.circuits}});
+    result["groups"].push_back({{"exchange", group.number}, {"circuits", group.circuits}});
   for (const CallClass& c : m.classes) {
-    shown["classes"].push_back({{"name", c.name},
-                                {"aim_ms", c.target_delay_us / kMs},
-                                {"give_up_ms", c.deadline_us / kMs},
-                                {"worth", c.worth},
-                                {"late_worth", c.late_worth},
-                                {"width", c.width},
-                                {"holding_ms", c.holding_us / kMs}});
+    result["classes"].push_back({{"name", c.name},
+                                 {"aim_ms", c.target_delay_us / kUsPerMs},
+                                 {"give_up_ms", c.deadline_us / kUsPerMs},
+                                 {"worth", c.worth},
+                                 {"late_worth", c.late_worth},
+                                 {"width", c.width},
+                                 {"holding_ms", c.holding_us / kUsPerMs}});
   }
-  shown["customers"] = json::array();
+  result["customers"] = json::array();
   for (const Customer& c : m.customers)
-    shown["customers"].push_back({{"name", c.name}, {"quota_per_s", c.quota_per_s}});
-  shown["over_quota_worth"] = m.over_quota_worth;
-  shown["plan_prefixes"] = s.plan.size();
-  shown["network"] = {{"senders", m.softswitch_count},
-                      {"release_ms", m.resend_guard_us / kMs},
-                      {"repeat_ms", m.retransmit_interval_us / kMs},
-                      {"drain_grace_ms", m.drain_grace_us / kMs},
-                      {"cold_from", m.warm_up_start_share},
-                      {"warm_up_ms", m.warm_up_us / kMs},
-                      {"fall_multiple", m.collapse_multiple},
-                      {"fall_ms", m.collapse_time_us / kMs},
-                      {"most_attempts", m.max_attempts},
-                      {"may_cancel", m.may_cancel},
-                      {"may_probe", m.may_probe},
-                      {"honours_pause", m.honours_retry_after},
-                      {"longest_pause_ms", m.max_retry_after_us / kMs},
-                      {"marks_redials", m.marks_redials},
-                      {"tells_wait", m.reports_wait_time}};
-  shown["transactions"] = {{"first_timeout_ms", s.transactions.first_timeout_us / kMs},
-                           {"longest_timeout_ms", s.transactions.longest_timeout_us / kMs},
-                           {"give_up_ms", s.transactions.give_up_us / kMs},
-                           {"history_ms", s.transactions.history_us / kMs},
-                           {"most_pending", s.transactions.most_pending},
-                           {"most_history", s.transactions.most_history}};
-  shown["log"] = {{"level", s.log_level}, {"file", s.log_file}};
-  return shown;
+    result["customers"].push_back({{"name", c.name}, {"quota_per_s", c.quota_per_s}});
+  result["over_quota_worth"] = m.over_quota_worth;
+  result["plan_prefixes"] = s.plan.size();
+  result["network"] = {{"senders", m.softswitch_count},
+                       {"release_ms", m.resend_guard_us / kUsPerMs},
+                       {"repeat_ms", m.retransmit_interval_us / kUsPerMs},
+                       {"drain_grace_ms", m.drain_grace_us / kUsPerMs},
+                       {"cold_from", m.warm_up_start_share},
+                       {"warm_up_ms", m.warm_up_us / kUsPerMs},
+                       {"fall_multiple", m.collapse_multiple},
+                       {"fall_ms", m.collapse_time_us / kUsPerMs},
+                       {"most_attempts", m.max_attempts},
+                       {"may_cancel", m.may_cancel},
+                       {"may_probe", m.may_probe},
+                       {"honours_pause", m.honours_retry_after},
+                       {"longest_pause_ms", m.max_retry_after_us / kUsPerMs},
+                       {"marks_redials", m.marks_redials},
+                       {"tells_wait", m.reports_wait_time}};
+  result["transactions"] = {{"first_timeout_ms", s.transactions.first_timeout_us / kUsPerMs},
+                            {"longest_timeout_ms", s.transactions.longest_timeout_us / kUsPerMs},
+                            {"give_up_ms", s.transactions.give_up_us / kUsPerMs},
+                            {"history_ms", s.transactions.history_us / kUsPerMs},
+                            {"most_pending", s.transactions.most_pending},
+                            {"most_history", s.transactions.most_history}};
+  result["log"] = {{"level", s.log_level}, {"file", s.log_file}};
+  return result;
 }
 
 }  // namespace croftrun::edge
--- a/src/edge/edge_settings.h
+++ b/src/edge/edge_settings.h
@@ -1,4 +1,4 @@
-// The settings of croftrun-edge: schemas/edge.schema.json as a structure.
+// The settings of croftrun-edge, as described by schemas/edge.schema.json.
 #ifndef CROFTRUN_EDGE_EDGE_SETTINGS_H_
 #define CROFTRUN_EDGE_EDGE_SETTINGS_H_
 
@@ -21,6 +21,7 @@
 
 namespace croftrun::edge {
 
+// The line endpoints and the numbers of this exchange.
 struct LineSettings {
   int count = 0;
   std::string number_prefix;
@@ -28,29 +29,33 @@
   std::string digit_map = "x.T";
 };
 
+// The roster server that lists the exchanges.
 struct RosterSettings {
   core::Address server;
   core::Address listen;
-  TimeUs ask_us = 1'000'000;
+  TimeUs renewal_interval_us = 1'000'000;
 };
 
+// Flow export of calls and attempts.
 struct FlowSettings {
-  std::size_t ring = 16'384;  // records between the call path and the exporter
+  std::size_t ring_capacity = 16'384;  // records between the call path and the exporter
   flow::RecorderSettings recorder;
   flow::ExporterSettings exporter;
 };
 
+// The WebSocket API.
 struct ApiSettings {
   core::Address listen;
-  std::string token_keys_file;  // empty: clients are told apart by their address alone
-  std::size_t most_connections = 1'024;
+  std::string token_keys_file;  // empty: clients are identified by their address alone
+  std::size_t max_connections = 1'024;
   TimeUs idle_us = 30'000'000;
   std::size_t accepts_per_s = 200;
-  ws::SessionManagerSettings session_manager;  // with the keys, as read
+  ws::SessionManagerSettings session_manager;  // includes the keys read from token_keys_file
 };
-// One key a line, of 16 octets at least; mistakes with their line.
+// Reads token keys, one per line, each of at least 16 octets. Appends errors with their line to `mistakes`.
 std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::Mistake>* mistakes);
 
+// All settings of one edge.
 struct EdgeSettings {
   core::CoreSettings core;
   core::Address listen;
@@ -58,7 +63,7 @@
   std::string domain;
   LineSettings lines;
   std::vector<std::string> class_names;
-  std::vector<Place> places;  // for rules
+  std::vector<Place> places;  // names that rules can use
   core::NumberPlan plan;
   std::shared_ptr<const Classifier> classifier;  // null: no rules
   std::optional<RosterSettings> roster;
@@ -66,20 +71,20 @@
   std::optional<admission::AdmissionSettings> admission;
   std::optional<ApiSettings> api;
   mgcp::TransactionSettings transactions;
-  TimeUs shutdown_limit_us = 30'000'000;
-  TimeUs audit_us = 2'000'000;
+  TimeUs shutdown_timeout_us = 30'000'000;
+  TimeUs audit_interval_us = 2'000'000;
   std::optional<std::uint64_t> seed;
   std::string log_level = "info";
   std::string log_file;
 };
 
-// The words that rules may use for customers, in their order.
+// Returns the names that rules can use for customers, in the order of the settings.
 std::vector<std::string> CustomerNames(const EdgeSettings& settings);
-// The schema's text, as published.
+// Returns the text of the JSON schema.
 std::string_view EdgeSchema();
-// Appends every mistake found, each with its path; the result is only of use where there was none.
+// Parses settings. Appends every error found to `mistakes`, with its path; the result is valid only if there are none.
 EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::Mistake>* mistakes);
-// The settings in force, defaults filled in, as JSON.
+// Returns the settings in force as JSON, including defaults.
 nlohmann::json ShowEdgeSettings(const EdgeSettings& settings);
 
 }  // namespace croftrun::edge
--- a/src/edge/json_log.cpp
+++ b/src/edge/json_log.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-spdlog::level::level_enum LevelOf(core::LogLevel level) {
+spdlog::level::level_enum SpdlogLevel(core::LogLevel level) {
   constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info, spdlog::level::warn,
                                                    spdlog::level::err};
   return kLevels[static_cast<std::size_t>(level)];
@@ -35,18 +35,18 @@
 
 }  // namespace
 
-bool JsonLog::IsEnabled(core::LogLevel level) const { return logger_->should_log(LevelOf(level)); }
+bool JsonLog::IsEnabled(core::LogLevel level) const { return logger_->should_log(SpdlogLevel(level)); }
 
 void JsonLog::Write(core::LogLevel level, std::string_view event, CallId call, std::string_view detail) {
-  const auto at = LevelOf(level);
-  if (!logger_->should_log(at)) return;
+  const auto spdlog_level = SpdlogLevel(level);
+  if (!logger_->should_log(spdlog_level)) return;
   const auto quoted = [](std::string_view text) {
     return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   };
   std::string line = "\"exchange\":" + std::to_string(exchange_) + ",\"event\":" + quoted(event);
   if (call != 0) line += ",\"call\":" + std::to_string(call);
   if (!detail.empty()) line += ",\"detail\":" + quoted(detail);
-  logger_->log(at, "{}", line);
+  logger_->log(spdlog_level, "{}", line);
 }
 
 }  // namespace croftrun::edge
--- a/src/edge/json_log.h
+++ b/src/edge/json_log.h
@@ -1,4 +1,4 @@
-// Structured log: one JSON object a line, through spdlog.
+// Structured log: one JSON object per line, written by spdlog.
 #ifndef CROFTRUN_EDGE_JSON_LOG_H_
 #define CROFTRUN_EDGE_JSON_LOG_H_
 
@@ -13,13 +13,14 @@
 
 namespace croftrun::edge {
 
+// Writes log events of one exchange as JSON objects.
 class JsonLog final : public core::Logger {
  public:
-  // `file` empty: standard error. Throws std::runtime_error where the file cannot be opened.
+  // Logs to standard error if `file` is empty. Throws std::runtime_error if the file cannot be opened.
   JsonLog(const std::string& level, const std::string& file, int exchange);
   ~JsonLog() override;
   bool IsEnabled(core::LogLevel level) const override;
-  // From now on; `level` as at the start: debug, info, warning, error.
+  // Changes the level from now on. `level` is debug, info, warning or error.
   void SetLevel(const std::string& level);
   void Write(core::LogLevel level, std::string_view event, CallId call, std::string_view detail) override;
 
--- a/src/edge/line_front.h
+++ b/src/edge/line_front.h
@@ -1,11 +1,12 @@
-// The MGCP front for lines: off hook, digits, final signal, on hook; and ringing a line of this exchange.
+// The MGCP front for line endpoints: off hook, dial tone, digit collection, final tone and on hook for calling lines;
+// ringing for called lines.
 //
-//   state       the line                                        leaves it by
-//   kIdle       is on hook and armed for off-hook and digits    dialled, or rung
+//   state       the line                                        left on
+//   kIdle       is on hook, armed for off hook and digits       digits dialled, or an incoming call
 //   kCalling    has a call without a final answer               final answer, or on hook
-//   kTalking    has a standing call                             either side hangs up, or it is cut
-//   kTone       hears why there is no call any more             on hook
-//   kRinging    is rung                                         off hook, or the caller gives up
+//   kTalking    has an established call                         on hook, or release of the call
+//   kTone       hears a tone after its call has ended           on hook
+//   kRinging    is ringing                                      off hook, or the caller gives up
 #ifndef CROFTRUN_EDGE_LINE_FRONT_H_
 #define CROFTRUN_EDGE_LINE_FRONT_H_
 
@@ -22,6 +23,7 @@
 
 namespace croftrun::edge {
 
+// Turns notifications of line endpoints into calls of the core, and the core's results into commands to the gateway.
 class LineFront final : public core::CallOwner, public core::LineDriver {
  public:
   struct Counters {
@@ -32,29 +34,31 @@
   LineFront(const EdgeSettings& settings, core::Runtime* runtime, core::CallCore* core, AdmissionFront* admission_front,
             mgcp::Transactions* transactions, core::Logger* log);
 
-  // Clears what a former life left and arms all lines; repeated until the gateway answers.
+  // Deletes connections left by an earlier run of this edge and arms all lines. Repeated until the gateway responds.
   void Start();
-  void OnNotify(mgcp::Transactions::CommandId command, const mgcp::Message& message);
-  // A restart in progress of lines matching the endpoint of the message.
-  void OnRestart(const mgcp::Message& message);
-  // From the next call on; null: no rules. Counters that stay the same go on. Each set has a version, from 1.
+  void HandleNotify(mgcp::Transactions::CommandId command, const mgcp::Message& message);
+  // Handles a restart in progress (RSIP) of the lines that match the endpoint of the message.
+  void HandleRestart(const mgcp::Message& message);
+  // Replaces the rules from the next call on; null means no rules. Counters that are in both sets of rules keep their
+  // values. Each set gets a version number, starting at 1.
   void SetClassifier(std::shared_ptr<const Classifier> classifier);
   std::uint32_t rules_version() const { return rules_version_; }
-  // Null: no rules.
+  // Returns null if there are no rules.
   const expr::RuleState* rule_state() const { return rule_state_ ? &*rule_state_ : nullptr; }
 
   void OnAccepted(CallId call) override;
   void OnFinalAnswer(CallId call, const core::FinalAnswer& answer) override;
   void OnCallEnded(CallId call, core::ReleaseCause cause) override;
-  core::ReleaseCause Ring(CallId call, const core::CallRequest& offer) override;
+  core::ReleaseCause Ring(CallId call, const core::CallRequest& call_request) override;
   void StopRinging(CallId call, core::ReleaseCause cause) override;
 
-  // What every front does to a call before it is offered: class, destination, width, time and rules. `patience_us` 0:
-  // the class's. `line` 0: it comes from none, and keeps the customer it has unless that is -1. Refused by a rule: only
-  // that counts.
-  Classifier::Verdict Prepare(const core::NumberMeaning& meaning, TimeUs patience_us, int line,
-                              core::CallRequest* offer);
-  // From off hook to on hook.
+  // Sets the class, destination, width and caller timeout of a call and applies the rules. Every front does this before
+  // it passes the call on. If `caller_timeout_us` is 0, the deadline of the class is used. If `line` is 0, the call
+  // does not come from a line and keeps its customer unless that is -1. If the result says that a rule refuses the
+  // call, the other results are not to be used.
+  Classifier::Result PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us, int line,
+                                         core::CallRequest* call_request);
+  // Returns true from off hook (or ringing) until on hook.
   bool InUse(int line) const {
     return line > 0 && static_cast<std::size_t>(line) < lines_.size() &&
            lines_[static_cast<std::size_t>(line)].state != State::kIdle;
@@ -65,38 +69,44 @@
   enum class State : std::uint8_t { kIdle, kCalling, kTalking, kTone, kRinging };
   struct Line {
     State state = State::kIdle;
-    bool called = false;  // it was rung, not dialled
+    bool is_called = false;  // true: it is the called line of its call; false: the calling line
     CallId call = 0;
     bool connected = false;
-    // The requests under which it may dial: the last one given in this life of the edge, and the one before, whose
-    // notification may have crossed it. Digits under another are of a former life, repeated ever since.
-    std::uint32_t armed = 0, armed_before = 0;
+    // Identifiers of the requests under which digits are accepted: the last request of this run of the edge, and the
+    // one before it, whose notification may have crossed the last. Digits under any other request were reported to an
+    // earlier run of the edge and have been retransmitted since.
+    std::uint32_t armed_request = 0, previous_armed_request = 0;
   };
 
-  void ArmAll();
-  void ArmIdle(std::string_view pattern);
-  void AuditCalls(std::string_view pattern);
-  void OnHook(int number, Line& line);
-  // Acknowledges the notification being worked on, once.
-  void Acknowledge();
-  // Refuses in the answer to the notification itself: no tone is asked for and none is acknowledged, so that a refusal
-  // costs least when there are most of them.
-  void RefuseInAnswer(Line& line, TimeUs pause_us);
-  void Dial(int number, Line& line, const std::string& digits, const mgcp::Message& message);
-  Classifier::Verdict Classify(core::CallRequest* offer, int line);
-  void Tone(int number, Line& line, std::string_view signal, std::string_view answer, TimeUs pause_us);
-  void Disconnect(int number, Line& line, bool rearm, std::string_view signal);
-  void Unbind(Line& line);
-  void Send(int number, mgcp::Verb verb, std::string body, mgcp::Transactions::OnAnswer on_answer = {});
-  // Arms the line; `body` gets the request.
-  std::string RequestIdle(Line& line);
-  std::string IdleRequest(std::uint32_t request) const;
-  static void Armed(Line& line, std::uint32_t request);
-  std::string RequestOnHook();
-  std::string NextRequest();
-  // The line that dialled, or is rung for, a call; 0: none. A call inside the exchange has both.
-  int CallingLine(CallId call) const;
-  int RungLine(CallId call) const;
+  void ArmAllLines();
+  // Arms the idle lines that match the pattern of endpoint names.
+  void ArmIdleLines(std::string_view pattern);
+  // Asks the gateway whether lines with a call have gone on hook: events are not reported while it is cut off.
+  void AuditLinesInUse(std::string_view pattern);
+  void HandleOnHook(int line_number, Line& line);
+  // Acknowledges the notification in progress unless it has been answered.
+  void AcknowledgeNotification();
+  // Refuses the call in the response to the notification itself. This saves the request for a tone and its
+  // acknowledgement, so that refusals are cheap in an overload.
+  void RefuseInResponse(Line& line, TimeUs retry_after_us);
+  void Dial(int line_number, Line& line, const std::string& digits, const mgcp::Message& message);
+  Classifier::Result ApplyRules(core::CallRequest* call_request, int line);
+  // Plays a final tone. `answer` (refused or failed) and the retry-after go along as extension parameters.
+  void PlayTone(int line_number, Line& line, std::string_view signal, std::string_view answer, TimeUs retry_after_us);
+  // Deletes the line's connection, if any. Arms the line if `rearm` is set, otherwise waits for on hook.
+  void Disconnect(int line_number, Line& line, bool rearm, std::string_view signal);
+  void UnbindCall(Line& line);
+  void SendCommand(int line_number, mgcp::Verb verb, std::string body, mgcp::Transactions::OnAnswer on_response = {});
+  // Gives the line a new request for off hook and digits; returns the body that arms it on the gateway.
+  std::string ArmLine(Line& line);
+  std::string IdleLineRequest(std::uint32_t request) const;
+  static void RecordArmedRequest(Line& line, std::uint32_t request);
+  std::string OnHookRequest();
+  std::string NextRequestId();
+  // The line that dialled the call, and the line that the call rings; 0 if there is none. A call within the exchange
+  // has both.
+  int FindCallingLine(CallId call) const;
+  int FindCalledLine(CallId call) const;
 
   const EdgeSettings& settings_;
   core::Runtime* runtime_;
@@ -105,21 +115,21 @@
   mgcp::Transactions* transactions_;
   core::Logger* log_;
   std::vector<Line> lines_;  // by endpoint number, from 1; [0] unused
-  std::unordered_map<CallId, int> calling_, rung_;
-  // Set while a line's call is being taken: its final answer can come before its id is known.
-  int dialling_ = 0;
-  // The notification being worked on, until it is answered.
-  std::optional<mgcp::Transactions::CommandId> unanswered_;
+  std::unordered_map<CallId, int> calling_lines_, called_lines_;
+  // Set while the core accepts a line's call: its final answer can arrive before the call's id is known here.
+  int dialling_line_ = 0;
+  // The notification in progress, until it has been answered.
+  std::optional<mgcp::Transactions::CommandId> pending_notification_;
   std::shared_ptr<const Classifier> classifier_;
   std::optional<expr::RuleState> rule_state_;
   std::uint64_t rule_seed_;
   std::uint32_t rules_version_ = 0;
-  std::uint32_t next_request_ = 1;
-  core::Timer retry_;
+  std::uint32_t next_request_id_ = 1;
+  core::Timer arm_retry_timer_;
   Counters counters_;
 };
 
-// The `C:` parameter of a call: unique over edges by the exchange's number.
+// Returns the call identifier (C: parameter) of a call. The exchange's number makes it unique among edges.
 std::string CallParameter(int own_number, CallId call);
 
 }  // namespace croftrun::edge
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -1,9 +1,9 @@
 // croftrun-edge: the call agent of one exchange, on sockets.
 //
-// With --platform it is in service on the users' platform instead: callers, exchanges and the notice board speak its
-// protocol, and its configuration (GW_CONFIG) stands in for the settings file.
+// With --platform it runs on the users' platform instead: callers, exchanges and the discovery service use the
+// platform's protocol, and the platform's configuration (GW_CONFIG) replaces the settings file.
 //
-// Exit codes: 0 stopped in order (SIGTERM, SIGINT), 1 could not start, 2 usage, 3 settings at fault.
+// Exit codes: 0 orderly stop (SIGTERM, SIGINT), 1 could not start, 2 usage error, 3 invalid settings.
 #include <CLI/CLI.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/thread_pool.hpp>
@@ -25,35 +25,39 @@
 
 namespace {
 
-constexpr std::size_t kMostSettingsBytes = 64U << 20U;
+constexpr std::size_t kMaxSettingsOctets = 64U << 20U;
 
-// Pairs of rules compared for notes in the log; `croftrun rules check` looks at all.
-constexpr std::size_t kMostPairs = 200'000;
-constexpr std::size_t kMostNotes = 10;
+// Maximum number of pairs of rules compared for notes in the log; `croftrun rules check` compares all.
+constexpr std::size_t kMaxComparedRulePairs = 200'000;
+constexpr std::size_t kMaxLoggedRuleNotes = 10;
 
-struct Reread {
+// The settings that a reload replaces.
+struct ReloadedSettings {
   std::shared_ptr<const croftrun::edge::Classifier> classifier;
-  std::vector<croftrun::config::Mistake> faults;
-  std::vector<croftrun::admission::CustomerSettings> customers;  // their weights and limits at the door; none: no door
-  std::vector<std::string> token_keys;                           // of the API; none: it has none
+  std::vector<croftrun::config::Mistake> mistakes;
+  // Weights and limits of customers for admission control; empty if there is none.
+  std::vector<croftrun::admission::CustomerSettings> customers;
+  // Keys of the API; empty if there are none.
+  std::vector<std::string> token_keys;
 };
 
-// The words that rules may use are those in force: the classes and customers of a running edge do not change.
-Reread ReadAgain(const std::string& path, const croftrun::edge::EdgeSettings& in_force) {
+// Reads the settings file again. Rules can refer only to the classes and customers in force, because those of a running
+// edge do not change.
+ReloadedSettings ReloadSettings(const std::string& path, const croftrun::edge::EdgeSettings& in_force) {
   using namespace croftrun;
-  Reread result;
-  const std::string text = config::ReadFile(path, kMostSettingsBytes, &result.faults);
-  edge::EdgeSettings fresh;
-  if (result.faults.empty()) fresh = edge::ParseEdgeSettings(text, &result.faults);
-  if (result.faults.empty() && fresh.class_names != in_force.class_names)
-    result.faults.push_back(
+  ReloadedSettings result;
+  const std::string text = config::ReadFile(path, kMaxSettingsOctets, &result.mistakes);
+  edge::EdgeSettings reloaded;
+  if (result.mistakes.empty()) reloaded = edge::ParseEdgeSettings(text, &result.mistakes);
+  if (result.mistakes.empty() && reloaded.class_names != in_force.class_names)
+    result.mistakes.push_back(
         {"/classes", "expected the classes in force, found others; restart the edge to change them"});
-  if (result.faults.empty() && edge::CustomerNames(fresh) != edge::CustomerNames(in_force))
-    result.faults.push_back(
+  if (result.mistakes.empty() && edge::CustomerNames(reloaded) != edge::CustomerNames(in_force))
+    result.mistakes.push_back(
         {"/customers", "expected the customers in force, found others; restart the edge to change them"});
-  result.classifier = std::move(fresh.classifier);
-  if (fresh.admission) result.customers = fresh.admission->customers;
-  if (fresh.api) result.token_keys = fresh.api->session_manager.token_keys;
+  result.classifier = std::move(reloaded.classifier);
+  if (reloaded.admission) result.customers = reloaded.admission->customers;
+  if (reloaded.api) result.token_keys = reloaded.api->session_manager.token_keys;
   return result;
 }
 
@@ -91,10 +95,10 @@
   return json;
 }
 
-void TellNotes(const croftrun::expr::RuleSet& rules, croftrun::core::Logger* log) {
-  std::size_t told = 0;
-  for (const auto& note : rules.Report(false, kMostPairs)) {
-    if (++told > kMostNotes) break;
+void LogRuleNotes(const croftrun::expr::RuleSet& rules, croftrun::core::Logger* log) {
+  std::size_t logged = 0;
+  for (const auto& note : rules.Report(false, kMaxComparedRulePairs)) {
+    if (++logged > kMaxLoggedRuleNotes) break;
     log->Write(croftrun::core::LogLevel::kWarning, "rules-note", 0,
                "line " + std::to_string(note.line) + ": " + note.text);
   }
@@ -103,7 +107,7 @@
 int Run(const std::string& path, const std::string& metrics_path) {
   using namespace croftrun;
   std::vector<config::Mistake> mistakes;
-  const std::string text = config::ReadFile(path, kMostSettingsBytes, &mistakes);
+  const std::string text = config::ReadFile(path, kMaxSettingsOctets, &mistakes);
   edge::EdgeSettings settings;
   if (mistakes.empty()) settings = edge::ParseEdgeSettings(text, &mistakes);
   if (!mistakes.empty()) {
@@ -118,7 +122,7 @@
   std::unique_ptr<flow::Recorder> recorder;
   std::unique_ptr<flow::Exporter> exporter;
   if (settings.flow) {
-    ring = std::make_unique<flow::Ring>(settings.flow->ring);
+    ring = std::make_unique<flow::Ring>(settings.flow->ring_capacity);
     recorder = std::make_unique<flow::Recorder>(settings.flow->recorder, &runtime, ring.get());
     const auto on_event = [&](const std::string& collector, const std::string& what) {
       boost::asio::post(runtime.context(), [&log, collector, what] {
@@ -133,7 +137,7 @@
   if (settings.api) {
     ws::ServerSettings server;
     server.listen = settings.api->listen;
-    server.most_connections = settings.api->most_connections;
+    server.most_connections = settings.api->max_connections;
     server.idle_us = settings.api->idle_us;
     server.accepts_per_s = settings.api->accepts_per_s;
     server.most_octets = settings.api->session_manager.api.most_octets;
@@ -146,51 +150,51 @@
   };
 
   bool stopping = false;
-  const edge::Signals stop(runtime.context(), {SIGTERM, SIGINT}, [&] {
-    if (std::exchange(stopping, true)) return runtime.Stop();  // a second signal: at once
+  const edge::Signals on_stop(runtime.context(), {SIGTERM, SIGINT}, [&] {
+    if (std::exchange(stopping, true)) return runtime.Stop();  // a second signal stops at once
     node.Stop([&] { runtime.Stop(); });
   });
-  const edge::Signals tell(runtime.context(), {SIGUSR1},
-                           [&] { log.Write(core::LogLevel::kWarning, "metrics", 0, metrics().dump()); });
-  // The rules alone are read again, by a thread of their own: calls do not wait for it. A file at fault leaves those in
-  // force. A signal during that is kept for after it.
-  boost::asio::thread_pool reader(1);
-  bool reading = false, again = false;
-  std::function<void()> read = [&] {
-    reading = true;
-    again = false;
-    boost::asio::post(reader, [&] {
-      auto fresh = std::make_shared<Reread>(ReadAgain(path, settings));
-      boost::asio::post(runtime.context(), [&, fresh] {
-        reading = false;
-        if (fresh->faults.empty()) {
-          node.SetClassifier(fresh->classifier);
-          if (!fresh->customers.empty()) node.SetCustomers(fresh->customers);
-          if (node.session_manager() != nullptr && !fresh->token_keys.empty())
-            node.session_manager()->SetKeys(fresh->token_keys);
-          const std::size_t rules = fresh->classifier == nullptr ? 0 : fresh->classifier->rules().rules.size();
+  const edge::Signals on_dump_metrics(runtime.context(), {SIGUSR1},
+                                      [&] { log.Write(core::LogLevel::kWarning, "metrics", 0, metrics().dump()); });
+  // Reloads the rules, the customers' limits and the token keys on a separate thread, so that calls are not delayed.
+  // After an error the old ones stay in force. A signal during a reload starts another one afterwards.
+  boost::asio::thread_pool reload_thread(1);
+  bool reloading = false, reload_again = false;
+  std::function<void()> start_reload = [&] {
+    reloading = true;
+    reload_again = false;
+    boost::asio::post(reload_thread, [&] {
+      auto reloaded = std::make_shared<ReloadedSettings>(ReloadSettings(path, settings));
+      boost::asio::post(runtime.context(), [&, reloaded] {
+        reloading = false;
+        if (reloaded->mistakes.empty()) {
+          node.SetClassifier(reloaded->classifier);
+          if (!reloaded->customers.empty()) node.SetCustomers(reloaded->customers);
+          if (node.session_manager() != nullptr && !reloaded->token_keys.empty())
+            node.session_manager()->SetKeys(reloaded->token_keys);
+          const std::size_t rules = reloaded->classifier == nullptr ? 0 : reloaded->classifier->rules().rules.size();
           log.Write(core::LogLevel::kInfo, "rules-reloaded", 0,
                     std::to_string(rules) + " rules, version " + std::to_string(node.rules_version()));
-          if (fresh->classifier != nullptr) TellNotes(fresh->classifier->rules(), &log);
+          if (reloaded->classifier != nullptr) LogRuleNotes(reloaded->classifier->rules(), &log);
         } else {
-          log.Write(core::LogLevel::kError, "rules-kept", 0, config::ToString(fresh->faults));
+          log.Write(core::LogLevel::kError, "rules-kept", 0, config::ToString(reloaded->mistakes));
         }
-        if (again) read();
+        if (reload_again) start_reload();
       });
     });
   };
-  const edge::Signals reload(runtime.context(), {SIGHUP}, [&] {
-    if (reading) {
-      again = true;
+  const edge::Signals on_reload(runtime.context(), {SIGHUP}, [&] {
+    if (reloading) {
+      reload_again = true;
     } else {
-      read();
+      start_reload();
     }
   });
-  if (settings.classifier != nullptr) TellNotes(settings.classifier->rules(), &log);
+  if (settings.classifier != nullptr) LogRuleNotes(settings.classifier->rules(), &log);
   std::cerr << "croftrun-edge: exchange " << settings.core.module.own_number << " listens on "
             << core::ToString(node.transactions().Local()) << "\n";
   runtime.Run();
-  reader.join();  // what it posts after this is not run
+  reload_thread.join();  // anything it posts from now on is not run
   if (exporter != nullptr) exporter->Stop();
   if (!metrics_path.empty()) {
     std::ofstream(metrics_path) << metrics().dump(1) << "\n";
@@ -206,9 +210,9 @@
   bool on_platform = false;
   auto* const settings = app.add_option("settings", path, "JSON settings (schemas/edge.schema.json)");
   app.add_flag("--platform", on_platform,
-               "In service on the platform: its protocol, configured by the file GW_CONFIG names")
+               "Run on the platform: use its protocol and the configuration file named by GW_CONFIG")
       ->excludes(settings);
-  app.add_option("--metrics", metrics_path, "Write all counters there at the end, as JSON");
+  app.add_option("--metrics", metrics_path, "Write all counters to this file on exit, as JSON");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
--- a/src/edge/roster_client.h
+++ b/src/edge/roster_client.h
@@ -1,4 +1,4 @@
-// Hears the roster: renews its subscription, applies what is new, asks for the full list after a gap.
+// Receives the roster: renews its subscription, applies updates and requests the full list after a gap.
 #ifndef CROFTRUN_EDGE_ROSTER_CLIENT_H_
 #define CROFTRUN_EDGE_ROSTER_CLIENT_H_
 
@@ -16,9 +16,10 @@
 //   ask     {"ask":"roster","exchange":3,"have":7}
 //   update  {"version":8,"base":7,"entries":[{"exchange":11,"number":1,"zone":0,"status":"ready",
 //            "incarnation":2,"age_ms":150}]}          without "base": the full list
-// Nothing on anything that is not an update.
+// Returns nothing if the text is not a valid update.
 std::optional<core::RosterUpdate> ParseRosterUpdate(std::string_view text);
 
+// Keeps the core's directory of exchanges up to date with the roster server.
 class RosterClient final : public core::DatagramHandler {
  public:
   struct Counters {
@@ -31,16 +32,18 @@
   std::uint64_t version() const { return view_.version(); }
 
  private:
-  void Ask();
+  // Requests updates after the version held, or the full list after a gap. Repeats itself, which renews the
+  // subscription.
+  void RequestUpdate();
 
   RosterSettings settings_;
   core::Runtime* runtime_;
   core::CallCore* core_;
   core::Logger* log_;
   core::RosterView view_;
-  bool want_full_ = false;
+  bool needs_full_list_ = false;
   Counters counters_;
-  core::Timer ask_;
+  core::Timer request_timer_;
   std::unique_ptr<core::DatagramPort> port_;
 };
 
--- a/src/edge/signals.h
+++ b/src/edge/signals.h
@@ -1,4 +1,4 @@
-// Signals of the operating system, each time they come.
+// Signal handling on an io_context.
 #ifndef CROFTRUN_EDGE_SIGNALS_H_
 #define CROFTRUN_EDGE_SIGNALS_H_
 
@@ -10,7 +10,8 @@
 
 namespace croftrun::edge {
 
-// Calls `on_signal` from the context's loop for every one of these signals, until it is destroyed. Pinned.
+// Calls `on_signal` from the context's loop each time one of these signals arrives, until this object is destroyed. The
+// pending wait refers to this object, so it can be neither copied nor moved.
 class Signals {
  public:
   Signals(boost::asio::io_context& context, std::initializer_list<int> numbers, std::function<void()> on_signal)
--- a/src/edge/wire_names.h
+++ b/src/edge/wire_names.h
@@ -1,5 +1,5 @@
-// How this product names things in MGCP: endpoints, packages, extension lines. The table is in docs/mgcp.md; the
-// laboratory's gateways and the edge share this file, so that each name is spelled once.
+// Names that this product uses in MGCP: endpoints, packages and extension lines. The table is in docs/mgcp.md. The
+// edge and the laboratory's gateways share this file, so that each name is defined once.
 #ifndef CROFTRUN_EDGE_WIRE_NAMES_H_
 #define CROFTRUN_EDGE_WIRE_NAMES_H_
 
@@ -10,24 +10,26 @@
 
 namespace croftrun::wire_names {
 
-// Lines are aaln/<n>, trunk circuits ds/<number of the far exchange>/<circuit>, a far processor far/<number>.
+// Local names of endpoints: line endpoints aaln/<n>, trunk endpoints ds/<number of the far exchange>/<circuit>, and
+// processors of far exchanges far/<number>.
 inline constexpr std::string_view kLines = "aaln/";
 inline constexpr std::string_view kCircuits = "ds/";
 inline constexpr std::string_view kFar = "far/";
 
-// Extension lines (RFC 3435 3.2.2: X- and X+ names; these may be ignored by who does not know them).
-inline constexpr std::string_view kPatience = "X-Patience";     // ms until the caller gives up this try
-inline constexpr std::string_view kClass = "X-Class";           // name of the class of call
-inline constexpr std::string_view kOrigin = "X-Origin";         // number of the exchange where the call began
-inline constexpr std::string_view kCircuitList = "X-Circuits";  // further circuits of a wide call
-inline constexpr std::string_view kAt = "X-At";                 // number of the exchange that gave the cause
-inline constexpr std::string_view kWait = "X-Wait";             // ms, stated by a full processor
-inline constexpr std::string_view kLoad = "X-Load";             // figures of the far processor
+// Extension parameters. A receiver that does not know an X- parameter ignores it (RFC 3435 3.2.2).
+inline constexpr std::string_view kPatience = "X-Patience";     // ms until the caller gives up this attempt
+inline constexpr std::string_view kClass = "X-Class";           // name of the call class
+inline constexpr std::string_view kOrigin = "X-Origin";         // number of the exchange where the call originated
+inline constexpr std::string_view kCircuitList = "X-Circuits";  // further circuits of a call on several circuits
+inline constexpr std::string_view kAt = "X-At";                 // number of the exchange that set the cause
+inline constexpr std::string_view kWait = "X-Wait";             // ms, wait time reported by a full processor
+inline constexpr std::string_view kLoad = "X-Load";             // load figures of the far processor
 inline constexpr std::string_view kState =
     "X-State";  // of a circuit: idle, seized, seized-in, far-released, releasing, blocked
-inline constexpr std::string_view kPause = "X-Pause";    // ms the caller should stay away
-inline constexpr std::string_view kAnswer = "X-Answer";  // refused or failed, for a tone alone does not tell
+inline constexpr std::string_view kPause = "X-Pause";    // ms, retry-after for the caller
+inline constexpr std::string_view kAnswer = "X-Answer";  // refused or failed; a tone alone does not tell which
 
+// Full endpoint names.
 inline std::string Circuit(int group, unsigned circuit, std::string_view domain) {
   return std::string(kCircuits) + std::to_string(group) + "/" + std::to_string(circuit) + "@" + std::string(domain);
 }
@@ -35,7 +37,7 @@
   return std::string(kLines) + std::to_string(line) + "@" + std::string(domain);
 }
 
-// The number a text is, whole, or nothing.
+// Parses the whole text as a number. Returns nothing if any of it is not part of the number.
 template <typename T>
 std::optional<T> Number(std::string_view text) {
   T value{};
@@ -44,6 +46,7 @@
   return value;
 }
 
+// A trunk endpoint's local name, parsed.
 struct CircuitName {
   int group = -1;
   unsigned circuit = 0;
--- a/tests/day_fixture.h
+++ b/tests/day_fixture.h
@@ -1,4 +1,4 @@
-// A day of the laboratory on virtual time, with the edges inside the test.
+// Test fixture: a laboratory scenario on virtual time, with the edges inside the test process.
 #ifndef CROFTRUN_TESTS_DAY_FIXTURE_H_
 #define CROFTRUN_TESTS_DAY_FIXTURE_H_
 
@@ -13,7 +13,7 @@
 using lab::InProcessEdges;
 using lab::QuietLog;
 
-// Plays `scenario_json` to its end and holds what came of it.
+// Runs the scenario in `scenario_json` and keeps its results. Counts are sums over all call classes.
 class PlayedDay : public lab::VirtualDay {
  public:
   explicit PlayedDay(const std::string& scenario_json, core::MakeDecider decider = {})
--- a/tests/reload_test.sh
+++ b/tests/reload_test.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# Rules read again on SIGHUP while calls run: new ones come into force, a file at fault leaves the old ones, no call is lost.
+# Reload of rules on SIGHUP during calls: new rules come into force, invalid rules leave the old ones in force, and no
+# call is lost.
 set -euo pipefail
 cli=$1 root=$2 edge=$3
 work=$(mktemp -d)
@@ -7,20 +8,20 @@
 trap '[[ -n $pid ]] && kill "$pid" 2>/dev/null; rm -rf "$work"' EXIT
 
 "$cli" lab load --edge "$edge" --folder "$work/load" --rate 300 --seconds 3 --no-echo --json --reload-ms 50 --rules "$work/rules" >"$work/missing.json" 2>&1 &&
-  { echo "FAILED a missing file of rules was taken"; exit 1; }
+  { echo "FAILED a missing rules file was accepted"; exit 1; }
 echo 'rule a when called starts_with "9" then refuse;' >"$work/rules"
 "$cli" lab load --edge "$edge" --folder "$work/load" --rate 300 --seconds 3 --no-echo --json --reload-ms 50 --rules "$work/rules" >"$work/load.json"
-# A slow machine may refuse some for overload; none is lost or late (the exit code), and most stand.
+# A slow machine may refuse some calls for overload. The exit code reports lost or late calls; most calls are established.
 answered=$(grep -o '"answered": [0-9]*' "$work/load.json" | grep -o '[0-9]*')
-((answered > 100)) || { echo "FAILED hardly a call stood"; cat "$work/load.json"; exit 1; }
+((answered > 100)) || { echo "FAILED only $answered calls were answered"; cat "$work/load.json"; exit 1; }
 version=$(grep -o '"version": [0-9]*' "$work/load/edge-0.metrics.json" | tail -1 | grep -o '[0-9]*')
-((version > 10)) || { echo "FAILED rules were read again $version times only"; exit 1; }
+((version > 10)) || { echo "FAILED the rules were reloaded only $version times"; exit 1; }
 
 sed "s|127.0.0.1:2727|127.31.0.1:2727|; s|\"network\": {}|\"network\": {}, \"rules_file\": \"$work/rules\", \"log\": {\"file\": \"$work/log\"}|" \
   "$root/examples/rules/booking.json" >"$work/edge.json"
 "$edge" "$work/edge.json" --metrics "$work/metrics.json" 2>/dev/null &
 pid=$!
-wait_for() {  # wait_for TEXT: until the log holds it
+wait_for() {  # wait_for TEXT: waits until the log contains it
   for _ in $(seq 100); do
     grep -q -- "$1" "$work/log" 2>/dev/null && return
     sleep 0.05
@@ -40,4 +41,4 @@
 kill -TERM "$pid"
 wait "$pid"
 pid=
-grep -q '"version": 2' "$work/metrics.json" || { echo "FAILED metrics tell another version"; exit 1; }
+grep -q '"version": 2' "$work/metrics.json" || { echo "FAILED the metrics report another version of the rules"; exit 1; }
