--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -1,8 +1,9 @@
-// The door: who is looked at, who waits and who is told to come back when, before the module spends work on a call.
+// Admission control: decides which calls are admitted, which wait and which are rejected with a time to retry, before
+// the decision module spends work on them.
 //
-// It decides nothing about routes or about the network's room: that is the module's, which may refuse whom the door let
-// in. One call is refused once: by the door before the module knows of it, or by the module. No I/O, no clock, fixed
-// memory.
+// It does not consider routes or free circuits: that is the module's task, and the module may refuse a call that was
+// admitted here. Each call is refused at most once, either here before the module sees it or by the module. No I/O, no
+// clock, fixed memory.
 #ifndef CROFTRUN_ADMISSION_ADMISSION_CONTROLLER_H_
 #define CROFTRUN_ADMISSION_ADMISSION_CONTROLLER_H_
 
@@ -28,30 +29,31 @@
   ConcurrencyLimiterSettings limiter;
   ClientSettings clients;
   RetryReservationSettings reservations;
-  std::size_t most_waiting = 1024;
+  std::size_t most_waiting = 1024;  // queued calls
   std::vector<CustomerSettings> customers;
-  TokenBucketSettings all;
-  // Of the calls let through, for those who come back as told: a part of it for clients that have not shown themselves.
-  double promised_share = 0.8, unverified_share = 0.3;
-  TimeUs least_pause_us = 500'000;
-  TimeUs longest_pause_us = 0;  // what the site allows; 0: no pause may be stated
-  std::uint64_t secret = 1;     // nobody who does not know it can aim at a place in a table
+  TokenBucketSettings all;  // of all calls together
+  // The part of a slot's calls that may be reserved for retries, and the part up to which an unverified client may
+  // still reserve.
+  double reserved_share = 0.8, unverified_share = 0.3;
+  TimeUs least_pause_us = 500'000;  // minimum retry-after
+  TimeUs longest_pause_us = 0;      // maximum retry-after that the site allows; 0: no retry-after is given
+  std::uint64_t secret = 1;         // hash seed; a client that does not know it cannot aim at a place in a table
 };
 
 struct AdmissionRequest {
   CallId call = 0;
   std::string_view client;
-  std::string_view called;  // a call to the same number again is the same call, come back
+  std::string_view called;  // a further call of the client to the same number counts as a retry
   int customer = 0;
   double cost = 1.0;             // circuits
-  TimeUs caller_timeout_us = 0;  // until the caller gives up
+  TimeUs caller_timeout_us = 0;  // time until the caller gives up
 };
 
 struct AdmissionDecision {
   CallId call = 0;
   bool admitted = false;
-  TimeUs pause_us = 0;    // of one refused; 0: no indication
-  bool promised = false;  // come back after it, there will be room; else there was nothing left to promise
+  TimeUs pause_us = 0;           // retry-after of a rejected call; 0: none given
+  bool has_reservation = false;  // capacity is reserved at that time; false: no slot was left to reserve
 };
 
 class AdmissionController {
@@ -64,45 +66,48 @@
 
   explicit AdmissionController(const AdmissionSettings& settings);
 
-  // A call comes. Verdicts for it, or for one that gave way to it, are appended; without one for it, it waits.
+  // Handles a new call. Appends the decisions on it and on calls that were evicted, expired or admitted along with it;
+  // if there is none on the call itself, it is queued.
   void OnRequest(const AdmissionRequest& request, TimeUs now, std::vector<AdmissionDecision>* decisions);
-  // An admitted call has its final answer, or its caller hung up before. `delay_us` counts if it stands.
-  void OnAnswered(CallId call, bool stands, TimeUs now, std::vector<AdmissionDecision>* decisions);
-  // A caller hung up while the call waited.
+  // Handles the final answer of an admitted call, or its caller hanging up before the answer. The set-up delay counts
+  // for the concurrency limit only if the call is established.
+  void OnAnswered(CallId call, bool established, TimeUs now, std::vector<AdmissionDecision>* decisions);
+  // Handles a caller that hangs up, whether its call is queued or in set-up.
   void OnAbandoned(CallId call, TimeUs now, std::vector<AdmissionDecision>* decisions);
-  // Whoever waits is refused, without a time to come back: nobody knows who will be here then.
+  // Rejects all queued calls, without a retry-after because nothing is known about the service at that time.
   void Close(std::vector<AdmissionDecision>* decisions);
-  // Whoever can no longer be answered in time is answered now. To be called by NextAt.
+  // Rejects queued calls that can no longer be answered in time. Has to be called at the time NextAt() returns.
   void OnTimer(TimeUs now, std::vector<AdmissionDecision>* decisions);
   std::optional<TimeUs> NextAt() const;
-  // From the next turn on.
+  // Sets weights and limits, with effect from the next round-robin turn.
   void SetCustomers(const std::vector<CustomerSettings>& customers);
 
-  std::size_t waiting() const { return queue_.size() + kept_.size(); }
-  std::size_t under_way() const { return under_way_.size(); }
+  std::size_t waiting() const { return queue_.size() + reserved_queue_.size(); }
+  std::size_t under_way() const { return in_set_up_.size(); }
   std::size_t limit() const { return limiter_.limit(); }
-  // Of the tables, which never grow. The queues hold `most_waiting` calls at most.
+  // Octets of the client and reservation tables, which never grow. The queues hold `most_waiting` calls at most.
   std::size_t table_bytes() const { return clients_.bytes() + reservations_.bytes(); }
   const Counters& counters() const { return counters_; }
 
  private:
   static std::vector<double> Weights(const std::vector<CustomerSettings>& customers);
-  std::uint64_t Hash(std::uint64_t under, std::string_view text) const;
-  void Admit(const QueuedCall& waiting, TimeUs now, std::vector<AdmissionDecision>* decisions);
-  void Refuse(const QueuedCall& waiting, TimeUs now, std::vector<AdmissionDecision>* decisions);
-  void Serve(TimeUs now, std::vector<AdmissionDecision>* decisions);
-  double Draw();
+  std::uint64_t Hash(std::uint64_t scope, std::string_view text) const;
+  void Admit(const QueuedCall& queued, TimeUs now, std::vector<AdmissionDecision>* decisions);
+  void Refuse(const QueuedCall& queued, TimeUs now, std::vector<AdmissionDecision>* decisions);
+  void AdmitQueued(TimeUs now, std::vector<AdmissionDecision>* decisions);
+  double Random();
 
   AdmissionSettings settings_;
   ConcurrencyLimiter limiter_;
   ClientTable clients_;
   RetryReservations reservations_;
   FairQueue queue_;
-  FairQueue kept_;  // who came as told: before all others, bounded by what was promised
-  TokenBucket all_;
-  std::vector<TokenBucket> of_customer_;
-  std::unordered_map<CallId, TimeUs> under_way_;  // since when; as many as the limiter's most
-  std::uint64_t chance_;
+  // Calls that arrived as instructed. They are served first; the reservations bound their number.
+  FairQueue reserved_queue_;
+  TokenBucket total_bucket_;
+  std::vector<TokenBucket> customer_buckets_;
+  std::unordered_map<CallId, TimeUs> in_set_up_;  // time of admission; no more entries than the maximum limit
+  std::uint64_t random_state_;
   Counters counters_;
 };
 
--- a/src/admission/client_table.h
+++ b/src/admission/client_table.h
@@ -1,7 +1,9 @@
-// What is remembered of clients, in fixed memory however many there are or are made up. No I/O, no clock.
+// Table of the clients seen recently. Its memory is fixed, however many identities exist or are made up. No I/O, no
+// clock.
 //
-// Four places a set; a newcomer takes that of whoever was seen longest ago, of those who never showed themselves first.
-// Who came back as told, or was served and comes again a while later, has shown itself.
+// The table is 4-way set-associative. A new client replaces the least recently seen one of its set, unverified clients
+// first. A client becomes verified when it retries at the time it was given, or when it calls again some time after it
+// was first served.
 #ifndef CROFTRUN_ADMISSION_CLIENT_TABLE_H_
 #define CROFTRUN_ADMISSION_CLIENT_TABLE_H_
 
@@ -17,48 +19,48 @@
 namespace croftrun::admission {
 
 struct ClientSettings {
-  std::size_t most = 16'384;
-  TimeUs verify_us = 10'000'000;            // served so long ago, it has shown itself when it comes again
-  TimeUs forget_us = 600'000'000;           // not seen for so long, it is a stranger again
-  TokenBucketSettings limit = {0.0, 10.0};  // of each that has shown itself
+  std::size_t most = 16'384;                // clients in the table
+  TimeUs verify_us = 10'000'000;            // a client that calls this long after it was first served is verified
+  TimeUs forget_us = 600'000'000;           // a client not seen for longer than this is unverified again
+  TokenBucketSettings limit = {0.0, 10.0};  // of each verified client
 };
 
 class ClientTable {
  public:
   struct Client {
-    std::uint64_t who = 0;
-    TimeUs seen = 0, served = 0;  // served: first; 0: never
+    std::uint64_t id = 0;                    // hash of customer and client name
+    TimeUs last_seen = 0, first_served = 0;  // first_served 0: never served
     TokenBucket bucket;
     bool verified = false;
   };
 
   explicit ClientTable(const ClientSettings& settings)
-      : settings_(settings), sets_(std::bit_ceil(std::max<std::size_t>(1, settings.most / kPlaces))) {}
+      : settings_(settings), sets_(std::bit_ceil(std::max<std::size_t>(1, settings.most / kWays))) {}
 
-  // The one who comes, now known to be here. Valid until the next call.
-  Client& FindOrInsert(std::uint64_t who, TimeUs now) {
-    auto& set = sets_[(who >> 20U) & (sets_.size() - 1)];
+  // Returns the client's entry and marks it as seen now. The reference is valid until the next call.
+  Client& FindOrInsert(std::uint64_t id, TimeUs now) {
+    auto& set = sets_[(id >> 20U) & (sets_.size() - 1)];
     for (Client& client : set) {
-      if (client.who != who || client.seen == 0) continue;
-      if (now - client.seen > settings_.forget_us) client.verified = false;
-      if (client.served != 0 && now - client.served >= settings_.verify_us) client.verified = true;
-      client.seen = now;
+      if (client.id != id || client.last_seen == 0) continue;
+      if (now - client.last_seen > settings_.forget_us) client.verified = false;
+      if (client.first_served != 0 && now - client.first_served >= settings_.verify_us) client.verified = true;
+      client.last_seen = now;
       return client;
     }
-    Client& last = *std::min_element(set.begin(), set.end(), [](const Client& a, const Client& b) {
-      return a.verified != b.verified ? b.verified : a.seen < b.seen;
+    Client& evicted = *std::min_element(set.begin(), set.end(), [](const Client& a, const Client& b) {
+      return a.verified != b.verified ? b.verified : a.last_seen < b.last_seen;
     });
-    last = {who, now, 0, {settings_.limit.burst, now}, false};
-    return last;
+    evicted = {id, now, 0, {settings_.limit.burst, now}, false};
+    return evicted;
   }
-  // A call of its own bucket.
+  // Consumes one token of the client's rate limit. Returns false if none is left.
   bool TakeToken(Client& client, TimeUs now) const { return client.bucket.TryConsume(settings_.limit, now); }
   std::size_t bytes() const { return sets_.size() * sizeof(sets_[0]); }
 
  private:
-  static constexpr std::size_t kPlaces = 4;
+  static constexpr std::size_t kWays = 4;
   ClientSettings settings_;
-  std::vector<std::array<Client, kPlaces>> sets_;
+  std::vector<std::array<Client, kWays>> sets_;
 };
 
 }  // namespace croftrun::admission
--- a/src/admission/fair_queue.cpp
+++ b/src/admission/fair_queue.cpp
@@ -9,68 +9,68 @@
   return customer >= 0 && index < weights_.size() && weights_[index] > 0.0 ? weights_[index] : 1.0;
 }
 
-std::optional<QueuedCall> FairQueue::Push(const QueuedCall& waiting, std::uint64_t key) {
-  Customer& customer = customers_[waiting.customer];
-  if (customer.waiting == 0) turns_.push_back(waiting.customer);
-  const auto [found, fresh] = customer.by_key.try_emplace(key);
-  if (fresh) found->second = customer.flows.insert(customer.flows.end(), Flow{key, 0.0, {}});
+std::optional<QueuedCall> FairQueue::Push(const QueuedCall& queued, std::uint64_t flow_key) {
+  Customer& customer = customers_[queued.customer];
+  if (customer.queued_calls == 0) round_.push_back(queued.customer);
+  const auto [found, inserted] = customer.flow_by_key.try_emplace(flow_key);
+  if (inserted) found->second = customer.flows.insert(customer.flows.end(), Flow{flow_key, 0.0, {}});
   const auto flow = found->second;
-  lengths_.erase({flow->waiting.size(), waiting.customer, key});
-  const auto at = flow->waiting.insert(flow->waiting.end(), waiting);
-  lengths_.insert({flow->waiting.size(), waiting.customer, key});
-  ++customer.waiting;
-  calls_.emplace(waiting.call, Place{waiting.customer, flow, at});
-  expiry_.insert({waiting.until, waiting.call});
-  if (calls_.size() <= most_) return std::nullopt;
+  flows_by_length_.erase({flow->calls.size(), queued.customer, flow_key});
+  const auto call = flow->calls.insert(flow->calls.end(), queued);
+  flows_by_length_.insert({flow->calls.size(), queued.customer, flow_key});
+  ++customer.queued_calls;
+  calls_.emplace(queued.call, Position{queued.customer, flow, call});
+  deadlines_.insert({queued.deadline, queued.call});
+  if (calls_.size() <= max_calls_) return std::nullopt;
   return EvictNewest();
 }
 
 std::optional<QueuedCall> FairQueue::EvictNewest() {
-  if (lengths_.empty()) return std::nullopt;
-  const auto [length, whose, longest] = *lengths_.rbegin();
-  const auto of = customers_.at(whose).by_key.at(longest);
-  return TakeOut({whose, of, std::prev(of->waiting.end())});
+  if (flows_by_length_.empty()) return std::nullopt;
+  const auto [length, customer, flow_key] = *flows_by_length_.rbegin();
+  const auto flow = customers_.at(customer).flow_by_key.at(flow_key);
+  return Extract({customer, flow, std::prev(flow->calls.end())});
 }
 
-QueuedCall FairQueue::TakeOut(const Place place) {
-  const QueuedCall waiting = *place.at;
-  Customer& customer = customers_.at(place.customer);
-  const std::uint64_t key = place.flow->key;
-  expiry_.erase({waiting.until, waiting.call});
-  calls_.erase(waiting.call);
-  lengths_.erase({place.flow->waiting.size(), place.customer, key});
-  place.flow->waiting.erase(place.at);
-  if (place.flow->waiting.empty()) {
-    customer.by_key.erase(key);
-    customer.flows.erase(place.flow);
+QueuedCall FairQueue::Extract(const Position position) {
+  const QueuedCall queued = *position.call;
+  Customer& customer = customers_.at(position.customer);
+  const std::uint64_t flow_key = position.flow->key;
+  deadlines_.erase({queued.deadline, queued.call});
+  calls_.erase(queued.call);
+  flows_by_length_.erase({position.flow->calls.size(), position.customer, flow_key});
+  position.flow->calls.erase(position.call);
+  if (position.flow->calls.empty()) {
+    customer.flow_by_key.erase(flow_key);
+    customer.flows.erase(position.flow);
   } else {
-    lengths_.insert({place.flow->waiting.size(), place.customer, key});
+    flows_by_length_.insert({position.flow->calls.size(), position.customer, flow_key});
   }
-  if (--customer.waiting == 0) {
-    // What was saved up goes with the queue: nobody saves turns while he needs none.
-    customers_.erase(place.customer);
-    turns_.erase(std::find(turns_.begin(), turns_.end(), place.customer));
+  if (--customer.queued_calls == 0) {
+    // The deficit is discarded with the queue: an idle customer does not accumulate service.
+    customers_.erase(position.customer);
+    round_.erase(std::find(round_.begin(), round_.end(), position.customer));
   }
-  return waiting;
+  return queued;
 }
 
 std::optional<QueuedCall> FairQueue::Pop() {
-  while (!turns_.empty()) {
-    const int number = turns_.front();
+  while (!round_.empty()) {
+    const int number = round_.front();
     Customer& customer = customers_.at(number);
-    if (!customer.turn) {
+    if (!customer.has_quantum) {
       customer.deficit += WeightOf(number);
-      customer.turn = true;
+      customer.has_quantum = true;
     }
     const auto flow = customer.flows.begin();
-    const double cost = flow->waiting.front().cost;
+    const double cost = flow->calls.front().cost;
     if (customer.deficit < cost) {
-      customer.turn = false;
-      turns_.pop_front();
-      turns_.push_back(number);
+      customer.has_quantum = false;
+      round_.pop_front();
+      round_.push_back(number);
       continue;
     }
-    // Its clients one after the other, each as far as its own deficit goes.
+    // The customer's flows are served in turn, each as far as its own deficit allows.
     if (flow->deficit < cost) {
       flow->deficit += 1.0;
       if (flow->deficit < cost) {
@@ -80,31 +80,31 @@
     }
     flow->deficit -= cost;
     customer.deficit -= cost;
-    const bool more = flow->waiting.size() > 1;
-    const QueuedCall next = TakeOut({number, flow, flow->waiting.begin()});
-    if (more) {
-      Customer& still = customers_.at(number);
-      still.flows.splice(still.flows.end(), still.flows, flow);
+    const bool flow_remains = flow->calls.size() > 1;
+    const QueuedCall next = Extract({number, flow, flow->calls.begin()});
+    if (flow_remains) {
+      Customer& remaining = customers_.at(number);
+      remaining.flows.splice(remaining.flows.end(), remaining.flows, flow);
     }
     return next;
   }
   return std::nullopt;
 }
 
-std::optional<QueuedCall> FairQueue::Expired(TimeUs now) {
-  if (expiry_.empty() || expiry_.begin()->first > now) return std::nullopt;
-  return TakeOut(calls_.at(expiry_.begin()->second));
+std::optional<QueuedCall> FairQueue::PopExpired(TimeUs now) {
+  if (deadlines_.empty() || deadlines_.begin()->first > now) return std::nullopt;
+  return Extract(calls_.at(deadlines_.begin()->second));
 }
 
 std::optional<TimeUs> FairQueue::NextExpiry() const {
-  if (expiry_.empty()) return std::nullopt;
-  return expiry_.begin()->first;
+  if (deadlines_.empty()) return std::nullopt;
+  return deadlines_.begin()->first;
 }
 
 bool FairQueue::Remove(CallId call) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return false;
-  TakeOut(found->second);
+  Extract(found->second);
   return true;
 }
 
--- a/src/admission/token_bucket.h
+++ b/src/admission/token_bucket.h
@@ -1,4 +1,4 @@
-// A rate with bursts. No clock.
+// Token bucket rate limit. The caller passes the time; there is no clock inside.
 #ifndef CROFTRUN_ADMISSION_TOKEN_BUCKET_H_
 #define CROFTRUN_ADMISSION_TOKEN_BUCKET_H_
 
@@ -15,13 +15,14 @@
 
 struct TokenBucket {
   double tokens = 0.0;
-  TimeUs filled = 0;  // 0: never, and what is in it was put there
+  TimeUs refilled_at = 0;  // 0: not refilled yet; `tokens` is then the initial fill
 
-  // A call's worth; false: there is none.
+  // Consumes one token. Returns false if fewer than one is left.
   bool TryConsume(const TokenBucketSettings& limit, TimeUs now) {
     if (limit.per_s <= 0.0) return true;
-    if (filled != 0) tokens = std::min(limit.burst, tokens + static_cast<double>(now - filled) * limit.per_s / 1e6);
-    filled = now;
+    if (refilled_at != 0)
+      tokens = std::min(limit.burst, tokens + static_cast<double>(now - refilled_at) * limit.per_s / 1e6);
+    refilled_at = now;
     if (tokens < 1.0) return false;
     tokens -= 1.0;
     return true;
--- a/src/lab/doors.cpp
+++ b/src/lab/doors.cpp
@@ -20,12 +20,12 @@
 using core::Print;
 
 constexpr TimeUs kSecond = 1'000'000;
-constexpr std::size_t kMostWaiting = 1024;
+constexpr std::size_t kMaxQueued = 1024;
 
-// What every door is to the evening.
-class Gate {
+// Interface of an admission policy under test.
+class AdmissionPolicy {
  public:
-  virtual ~Gate() = default;
+  virtual ~AdmissionPolicy() = default;
   virtual void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
                          std::vector<admission::AdmissionDecision>* decisions) = 0;
   virtual void OnAnswered(CallId call, bool in_time, TimeUs now,
@@ -34,7 +34,8 @@
   virtual std::size_t waiting() const { return 0; }
 };
 
-class Open final : public Gate {
+// Admits every call.
+class NoAdmissionControl final : public AdmissionPolicy {
  public:
   void OnRequest(const admission::AdmissionRequest& request, TimeUs,
                  std::vector<admission::AdmissionDecision>* decisions) override {
@@ -43,10 +44,10 @@
   void OnAnswered(CallId, bool, TimeUs, std::vector<admission::AdmissionDecision>*) override {}
 };
 
-// A rate that the network can bear, and nobody is told when to come back.
-class TokenBucket final : public Gate {
+// Admits calls at the rate the network can handle; gives rejected callers no retry-after.
+class TokenBucketPolicy final : public AdmissionPolicy {
  public:
-  explicit TokenBucket(double per_s) : limit_{per_s, per_s / 10.0} { bucket_.tokens = limit_.burst; }
+  explicit TokenBucketPolicy(double per_s) : limit_{per_s, per_s / 10.0} { bucket_.tokens = limit_.burst; }
   void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
                  std::vector<admission::AdmissionDecision>* decisions) override {
     decisions->push_back({request.call, bucket_.TryConsume(limit_, now), 0, false});
@@ -58,85 +59,91 @@
   admission::TokenBucket bucket_;
 };
 
-// First come, first served, as many at once as the network bears; who waited too long is answered when its
-// turn comes.
-class Fifo final : public Gate {
+// Serves calls in order of arrival, as many at once as the network can handle. A call that has waited too long is
+// rejected when its turn comes.
+class FifoPolicy final : public AdmissionPolicy {
  public:
-  explicit Fifo(std::size_t at_once) : at_once_(at_once) {}
+  explicit FifoPolicy(std::size_t concurrency) : concurrency_(concurrency) {}
   void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
                  std::vector<admission::AdmissionDecision>* decisions) override {
-    if (queue_.size() >= kMostWaiting) return decisions->push_back({request.call, false, 0, false});
+    if (queue_.size() >= kMaxQueued) return decisions->push_back({request.call, false, 0, false});
     queue_.push_back({request.call, now + request.caller_timeout_us});
-    Serve(now, decisions);
+    AdmitQueued(now, decisions);
   }
   void OnAnswered(CallId, bool, TimeUs now, std::vector<admission::AdmissionDecision>* decisions) override {
-    --under_way_;
-    Serve(now, decisions);
+    --in_set_up_;
+    AdmitQueued(now, decisions);
   }
   std::size_t waiting() const override { return queue_.size(); }
 
  private:
-  void Serve(TimeUs now, std::vector<admission::AdmissionDecision>* decisions) {
-    while (!queue_.empty() && under_way_ < at_once_) {
-      const auto [call, until] = queue_.front();
+  void AdmitQueued(TimeUs now, std::vector<admission::AdmissionDecision>* decisions) {
+    while (!queue_.empty() && in_set_up_ < concurrency_) {
+      const auto [call, deadline] = queue_.front();
       queue_.pop_front();
-      if (until > now) ++under_way_;
-      decisions->push_back({call, until > now, 0, false});
+      if (deadline > now) ++in_set_up_;
+      decisions->push_back({call, deadline > now, 0, false});
     }
   }
-  std::size_t at_once_, under_way_ = 0;
+  std::size_t concurrency_, in_set_up_ = 0;
   std::deque<std::pair<CallId, TimeUs>> queue_;
 };
 
-class Fair final : public Gate {
+// The admission controller of the edge.
+class FairPolicy final : public AdmissionPolicy {
  public:
-  explicit Fair(const admission::AdmissionSettings& settings) : door_(settings) {}
+  explicit FairPolicy(const admission::AdmissionSettings& settings) : controller_(settings) {}
   void OnRequest(const admission::AdmissionRequest& request, TimeUs now,
                  std::vector<admission::AdmissionDecision>* decisions) override {
-    door_.OnRequest(request, now, decisions);
+    controller_.OnRequest(request, now, decisions);
   }
   void OnAnswered(CallId call, bool in_time, TimeUs now,
                   std::vector<admission::AdmissionDecision>* decisions) override {
-    door_.OnAnswered(call, in_time, now, decisions);
+    controller_.OnAnswered(call, in_time, now, decisions);
   }
   void OnTimer(TimeUs now, std::vector<admission::AdmissionDecision>* decisions) override {
-    door_.OnTimer(now, decisions);
+    controller_.OnTimer(now, decisions);
   }
-  std::size_t waiting() const override { return door_.waiting(); }
+  std::size_t waiting() const override { return controller_.waiting(); }
 
  private:
-  admission::AdmissionController door_;
+  admission::AdmissionController controller_;
 };
 
-std::unique_ptr<Gate> MakeGate(const std::string& name, const DoorsSettings& s) {
-  if (name == "none") return std::make_unique<Open>();
-  if (name == "fifo") return std::make_unique<Fifo>(static_cast<std::size_t>(s.at_once));
-  if (name == "token bucket") return std::make_unique<TokenBucket>(s.at_once * 1e6 / static_cast<double>(s.set_up_us));
+std::unique_ptr<AdmissionPolicy> MakePolicy(const std::string& name, const DoorsSettings& s) {
+  if (name == "none") return std::make_unique<NoAdmissionControl>();
+  if (name == "fifo") return std::make_unique<FifoPolicy>(static_cast<std::size_t>(s.concurrency));
+  if (name == "token bucket")
+    return std::make_unique<TokenBucketPolicy>(s.concurrency * 1e6 / static_cast<double>(s.set_up_us));
   if (name != "fair") throw std::invalid_argument("expected fair, fifo, token bucket or none, found " + name);
   admission::AdmissionSettings settings;
-  settings.limiter.first = s.at_once;
+  settings.limiter.first = s.concurrency;
   settings.longest_pause_us = 10 * kSecond;
   settings.customers = {{}, {}};
   settings.secret = s.seed * 0x9e3779b97f4a7c15U;
-  return std::make_unique<Fair>(settings);
+  return std::make_unique<FairPolicy>(settings);
 }
 
-class Evening {
+// One run of the traffic against one policy.
+class PolicyRun {
  public:
-  Evening(const std::string& name, const DoorsSettings& s) : s_(s), gate_(MakeGate(name, s)), random_(s.seed) {
-    figures_.door = name;
+  PolicyRun(const std::string& name, const DoorsSettings& settings)
+      : settings_(settings), policy_(MakePolicy(name, settings)), random_(settings.seed) {
+    result_.door = name;
   }
 
-  DoorFigures Play() {
-    for (int i = 0; i < s_.quiet; ++i)
-      clients_.push_back({"quiet " + std::to_string(i), 1, s_.quiet_per_s, 2.0, false});
-    for (int i = 0; i < s_.crowd; ++i) clients_.push_back({"crowd " + std::to_string(i), 0, s_.crowd_per_s, 1.0, true});
-    for (std::size_t i = 0; i < clients_.size(); ++i) In(Gap(clients_[i].per_s), [this, i] { Arrive(i); });
-    from_ = Now() + s_.length_us / 4;
-    to_ = Now() + 3 * s_.length_us / 4;
-    if (s_.flood_per_s > 0.0) In(from_ - Now(), [this] { Flood(); });
-    clock_.RunFor(s_.length_us);
-    return Figures();
+  DoorFigures Run() {
+    for (int i = 0; i < settings_.quiet_clients; ++i)
+      clients_.push_back({"quiet " + std::to_string(i), 1, settings_.quiet_per_s, 2.0, false});
+    for (int i = 0; i < settings_.crowd_clients; ++i)
+      clients_.push_back({"crowd " + std::to_string(i), 0, settings_.crowd_per_s, 1.0, true});
+    for (std::size_t i = 0; i < clients_.size(); ++i)
+      Schedule(NextInterval(clients_[i].per_s), [this, i] { Arrive(i); });
+    flood_start_ = Now() + settings_.length_us / 4;
+    flood_end_ = Now() + 3 * settings_.length_us / 4;
+    if (settings_.flood_per_s > 0.0) Schedule(flood_start_ - Now(), [this] { Flood(); });
+    clock_.RunFor(settings_.length_us);
+    return Result();
   }
 
  private:
@@ -145,117 +152,122 @@
     int customer = 0;
     double per_s = 1.0, worth = 1.0;
     bool redials = false;
-    std::uint64_t calls = 0, stood = 0;
+    std::uint64_t calls = 0, answered = 0;
   };
-  struct Try {
-    int client = -1;  // -1: the flood
+  struct Attempt {
+    int client = -1;  // -1: part of the flood
     std::string called;
-    TimeUs came = 0, until = 0;
+    TimeUs dialled_at = 0, deadline = 0;
     int redials = 0;
-    bool told = false, counted = false;
+    bool has_reservation = false, counted = false;
   };
 
   TimeUs Now() const { return clock_.Now(); }
-  // The gate is told the time before anything happens.
-  void In(TimeUs delay, std::function<void()> what) {
-    clock_.StartTimer(delay, [this, what = std::move(what)] {
-      Carry([this](auto* decisions) { gate_->OnTimer(Now(), decisions); });
-      what();
+  // Runs the action after the delay. The policy's timer runs before each action.
+  void Schedule(TimeUs delay, std::function<void()> action) {
+    clock_.StartTimer(delay, [this, action = std::move(action)] {
+      ApplyDecisions([this](auto* decisions) { policy_->OnTimer(Now(), decisions); });
+      action();
     });
   }
-  TimeUs Gap(double per_s) { return static_cast<TimeUs>(std::exponential_distribution<>(per_s)(random_) * 1e6) + 1; }
-  // Calls count while the flood runs, a patience short of its end.
-  bool Counts() const { return Now() >= from_ && Now() + s_.patience_us < to_; }
+  TimeUs NextInterval(double per_s) {
+    return static_cast<TimeUs>(std::exponential_distribution<>(per_s)(random_) * 1e6) + 1;
+  }
+  // Calls count from the start of the flood until one caller timeout before its end.
+  bool IsCounted() const { return Now() >= flood_start_ && Now() + settings_.caller_timeout_us < flood_end_; }
 
   void Arrive(std::size_t i) {
     Client& client = clients_[i];
-    const bool counted = Counts();
+    const bool counted = IsCounted();
     client.calls += counted ? 1 : 0;
-    Dial(static_cast<int>(i), "to " + std::to_string(++numbers_), client.redials ? 3 : 0, false, counted);
-    In(Gap(client.per_s), [this, i] { Arrive(i); });
+    Dial(static_cast<int>(i), "to " + std::to_string(++called_numbers_), client.redials ? 3 : 0, false, counted);
+    Schedule(NextInterval(client.per_s), [this, i] { Arrive(i); });
   }
   void Flood() {
-    if (Now() >= to_) return;
+    if (Now() >= flood_end_) return;
     Dial(-1, "1", 0, false, false);
-    In(std::max<TimeUs>(1, static_cast<TimeUs>(1e6 / s_.flood_per_s)), [this] { Flood(); });
+    Schedule(std::max<TimeUs>(1, static_cast<TimeUs>(1e6 / settings_.flood_per_s)), [this] { Flood(); });
   }
-  void Dial(int client, const std::string& called, int redials, bool told, bool counted) {
+  void Dial(int client, const std::string& called, int redials, bool has_reservation, bool counted) {
     const CallId call = ++calls_;
-    tries_[call] = {client, called, Now(), Now() + s_.patience_us, redials, told, counted};
+    attempts_[call] = {client, called, Now(), Now() + settings_.caller_timeout_us, redials, has_reservation, counted};
     const std::string name =
         client < 0 ? "made up " + std::to_string(call) : clients_[static_cast<std::size_t>(client)].name;
     const int customer = client < 0 ? 0 : clients_[static_cast<std::size_t>(client)].customer;
-    Carry([&](auto* decisions) {
-      gate_->OnRequest({call, name, called, customer, 1.0, s_.patience_us}, Now(), decisions);
+    ApplyDecisions([&](auto* decisions) {
+      policy_->OnRequest({call, name, called, customer, 1.0, settings_.caller_timeout_us}, Now(), decisions);
     });
   }
-  void Carry(const std::function<void(std::vector<admission::AdmissionDecision>*)>& what) {
+  void ApplyDecisions(const std::function<void(std::vector<admission::AdmissionDecision>*)>& action) {
     std::vector<admission::AdmissionDecision> decisions;
-    what(&decisions);
-    figures_.most_waiting = std::max<std::uint64_t>(figures_.most_waiting, gate_->waiting());
+    action(&decisions);
+    result_.most_waiting = std::max<std::uint64_t>(result_.most_waiting, policy_->waiting());
     for (const admission::AdmissionDecision& decision : decisions) {
-      const auto found = tries_.find(decision.call);
-      if (found == tries_.end()) continue;
-      const Try one = found->second;
-      tries_.erase(found);
-      decision.admitted ? Admitted(decision.call, one) : Refused(decision, one);
+      const auto found = attempts_.find(decision.call);
+      if (found == attempts_.end()) continue;
+      const Attempt attempt = found->second;
+      attempts_.erase(found);
+      decision.admitted ? Admitted(decision.call, attempt) : Refused(decision, attempt);
     }
   }
-  void Admitted(CallId call, const Try& one) {
-    if (one.client >= 0 && one.counted) waits_.push_back(Now() - one.came);
-    const double crowd = std::max(1.0, static_cast<double>(++in_flight_) / s_.at_once);
-    In(static_cast<TimeUs>(static_cast<double>(s_.set_up_us) * crowd), [this, call, one] {
+  void Admitted(CallId call, const Attempt& attempt) {
+    if (attempt.client >= 0 && attempt.counted) waits_us_.push_back(Now() - attempt.dialled_at);
+    const double load_factor = std::max(1.0, static_cast<double>(++in_flight_) / settings_.concurrency);
+    Schedule(static_cast<TimeUs>(static_cast<double>(settings_.set_up_us) * load_factor), [this, call, attempt] {
       --in_flight_;
-      const bool in_time = Now() <= one.until;
-      if (one.client >= 0 && one.counted && in_time) ++clients_[static_cast<std::size_t>(one.client)].stood;
-      told_stood_ += one.told && in_time ? 1 : 0;
-      Carry([&](auto* decisions) { gate_->OnAnswered(call, in_time, Now(), decisions); });
+      const bool in_time = Now() <= attempt.deadline;
+      if (attempt.client >= 0 && attempt.counted && in_time)
+        ++clients_[static_cast<std::size_t>(attempt.client)].answered;
+      reserved_retries_answered_ += attempt.has_reservation && in_time ? 1 : 0;
+      ApplyDecisions([&](auto* decisions) { policy_->OnAnswered(call, in_time, Now(), decisions); });
     });
   }
-  void Refused(const admission::AdmissionDecision& decision, const Try& one) {
-    if (one.client < 0 || one.redials == 0) return;
-    const bool told = decision.promised;
-    const TimeUs pause = decision.pause_us > 0 ? decision.pause_us : 300'000;
-    In(pause, [this, one, told] {
-      told_ += told ? 1 : 0;
-      Dial(one.client, one.called, one.redials - 1, told, one.counted);
+  void Refused(const admission::AdmissionDecision& decision, const Attempt& attempt) {
+    if (attempt.client < 0 || attempt.redials == 0) return;
+    const bool has_reservation = decision.has_reservation;
+    const TimeUs delay = decision.pause_us > 0 ? decision.pause_us : 300'000;
+    Schedule(delay, [this, attempt, has_reservation] {
+      reserved_retries_ += has_reservation ? 1 : 0;
+      Dial(attempt.client, attempt.called, attempt.redials - 1, has_reservation, attempt.counted);
     });
   }
-  DoorFigures Figures() {
+  DoorFigures Result() {
     double worth = 0.0;
-    std::uint64_t calls[2] = {}, stood[2] = {};
-    figures_.worst_client = 1.0;
+    std::uint64_t calls[2] = {}, answered[2] = {};
+    result_.worst_client = 1.0;
     for (const Client& c : clients_) {
       const std::size_t kind = c.redials ? 1 : 0;
       calls[kind] += c.calls;
-      stood[kind] += c.stood;
-      worth += c.worth * static_cast<double>(c.stood);
+      answered[kind] += c.answered;
+      worth += c.worth * static_cast<double>(c.answered);
       if (kind == 0 && c.calls > 0)
-        figures_.worst_client =
-            std::min(figures_.worst_client, static_cast<double>(c.stood) / static_cast<double>(c.calls));
+        result_.worst_client =
+            std::min(result_.worst_client, static_cast<double>(c.answered) / static_cast<double>(c.calls));
     }
     const auto share = [&](std::size_t kind) {
-      return calls[kind] > 0 ? static_cast<double>(stood[kind]) / static_cast<double>(calls[kind]) : 0.0;
+      return calls[kind] > 0 ? static_cast<double>(answered[kind]) / static_cast<double>(calls[kind]) : 0.0;
     };
-    figures_.goodput = worth / (static_cast<double>(to_ - from_ - s_.patience_us) / 1e6);
-    figures_.quiet_share = share(0);
-    figures_.crowd_share = share(1);
-    std::sort(waits_.begin(), waits_.end());
-    if (!waits_.empty()) figures_.p99_wait_ms = static_cast<double>(waits_[waits_.size() * 99 / 100]) / 1000.0;
-    figures_.told_kept = told_ > 0 ? static_cast<double>(told_stood_) / static_cast<double>(told_) : -1.0;
-    return figures_;
+    result_.goodput = worth / (static_cast<double>(flood_end_ - flood_start_ - settings_.caller_timeout_us) / 1e6);
+    result_.quiet_share = share(0);
+    result_.crowd_share = share(1);
+    std::sort(waits_us_.begin(), waits_us_.end());
+    if (!waits_us_.empty()) result_.p99_wait_ms = static_cast<double>(waits_us_[waits_us_.size() * 99 / 100]) / 1000.0;
+    result_.told_kept = reserved_retries_ > 0
+                            ? static_cast<double>(reserved_retries_answered_) / static_cast<double>(reserved_retries_)
+                            : -1.0;
+    return result_;
   }
 
-  const DoorsSettings s_;
+  const DoorsSettings settings_;
   sim::VirtualRuntime clock_{1};
-  std::unique_ptr<Gate> gate_;
+  std::unique_ptr<AdmissionPolicy> policy_;
   std::mt19937_64 random_;
   std::vector<Client> clients_;
-  std::unordered_map<CallId, Try> tries_;
-  std::vector<TimeUs> waits_;
-  DoorFigures figures_;
-  TimeUs from_ = 0, to_ = 0;
-  std::uint64_t numbers_ = 0, told_ = 0, told_stood_ = 0;
+  std::unordered_map<CallId, Attempt> attempts_;
+  std::vector<TimeUs> waits_us_;
+  DoorFigures result_;
+  TimeUs flood_start_ = 0, flood_end_ = 0;
+  std::uint64_t called_numbers_ = 0, reserved_retries_ = 0, reserved_retries_answered_ = 0;
   CallId calls_ = 0;
   int in_flight_ = 0;
 };
@@ -267,44 +279,46 @@
   return kNames;
 }
 
-DoorFigures PlayDoor(const std::string& door, const DoorsSettings& settings) { return Evening(door, settings).Play(); }
+DoorFigures PlayDoor(const std::string& policy, const DoorsSettings& settings) {
+  return PolicyRun(policy, settings).Run();
+}
 
 std::string DoorsPicture(const DoorsCurve& curve) {
   constexpr const char* kColours[] = {"#1b6ca8", "#c0392b", "#b8860b", "#7f8c8d"};
-  constexpr double kLeft = 60, kWide = 360, kTop = 30, kHigh = 200, kGap = 90;
+  constexpr double kLeft = 60, kWidth = 360, kTop = 30, kHeight = 200, kGap = 90;
   std::string out =
       "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 920 300\" width=\"920\" "
       "font-family=\"sans-serif\" font-size=\"11\">\n";
-  const double most_flood = std::max(1.0, curve.floods.empty() ? 1.0 : curve.floods.back());
+  const double max_flood = std::max(1.0, curve.floods.empty() ? 1.0 : curve.floods.back());
   for (int panel = 0; panel < 2; ++panel) {
-    const double left = kLeft + panel * (kWide + kGap);
+    const double left = kLeft + panel * (kWidth + kGap);
     const auto value = [&](const DoorFigures& f) { return panel == 0 ? f.goodput : f.quiet_share; };
-    double most = panel == 0 ? 1e-9 : 1.0;
-    for (const auto& door : curve.by_door) {
-      for (const DoorFigures& f : door) most = std::max(most, value(f));
+    double max_value = panel == 0 ? 1e-9 : 1.0;
+    for (const auto& policy : curve.by_door) {
+      for (const DoorFigures& f : policy) max_value = std::max(max_value, value(f));
     }
     Print(&out, "<text x=\"%.0f\" y=\"18\" font-size=\"13\">%s</text>\n", left,
-          panel == 0 ? "Worth a second, of who is no flood" : "Share of quiet clients' calls in time");
-    Print(&out, "<path d=\"M%.0f %.0fv%.0fh%.0f\" fill=\"none\" stroke=\"#444\"/>\n", left, kTop, kHigh, kWide);
+          panel == 0 ? "Worth per second, without the flood's calls" : "Share of quiet clients' calls in time");
+    Print(&out, "<path d=\"M%.0f %.0fv%.0fh%.0f\" fill=\"none\" stroke=\"#444\"/>\n", left, kTop, kHeight, kWidth);
     Print(&out,
           "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"end\">%.3g</text><text x=\"%.0f\" y=\"%.0f\" "
           "text-anchor=\"end\">0</text>\n",
-          left - 4, kTop + 8, most, left - 4, kTop + kHigh);
+          left - 4, kTop + 8, max_value, left - 4, kTop + kHeight);
     for (const double flood : curve.floods)
-      Print(&out, "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n", left + kWide * flood / most_flood,
-            kTop + kHigh + 14, flood);
-    for (std::size_t d = 0; d < curve.by_door.size(); ++d) {
+      Print(&out, "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n", left + kWidth * flood / max_flood,
+            kTop + kHeight + 14, flood);
+    for (std::size_t p = 0; p < curve.by_door.size(); ++p) {
       std::string path;
       for (std::size_t i = 0; i < curve.floods.size(); ++i)
-        Print(&path, "%c%.1f %.1f", i == 0 ? 'M' : 'L', left + kWide * curve.floods[i] / most_flood,
-              kTop + kHigh * (1.0 - value(curve.by_door[d][i]) / most));
+        Print(&path, "%c%.1f %.1f", i == 0 ? 'M' : 'L', left + kWidth * curve.floods[i] / max_flood,
+              kTop + kHeight * (1.0 - value(curve.by_door[p][i]) / max_value));
       Print(&out, "<path d=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"1.6\"/>\n", path.c_str(),
-            kColours[d % std::size(kColours)]);
-      if (!curve.by_door[d].empty())
-        Print(&out, "<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", left + 85.0 * static_cast<double>(d),
-              kTop + kHigh + 48, kColours[d % std::size(kColours)], curve.by_door[d][0].door.c_str());
+            kColours[p % std::size(kColours)]);
+      if (!curve.by_door[p].empty())
+        Print(&out, "<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", left + 85.0 * static_cast<double>(p),
+              kTop + kHeight + 48, kColours[p % std::size(kColours)], curve.by_door[p][0].door.c_str());
     }
-    Print(&out, "<text x=\"%.0f\" y=\"%.0f\">made-up identities a second</text>\n", left, kTop + kHigh + 30);
+    Print(&out, "<text x=\"%.0f\" y=\"%.0f\">made-up identities per second</text>\n", left, kTop + kHeight + 30);
   }
   return out + "</svg>\n";
 }
--- a/src/lab/doors.h
+++ b/src/lab/doors.h
@@ -1,5 +1,5 @@
-// Doors compared: the same evening, the same flood, another door before the same network. On virtual time,
-// for docs/door.md.
+// Comparison of admission policies under a flood of calls from made-up identities. Every policy gets the same traffic
+// and the same network. Runs on virtual time; used for docs/door.md.
 #ifndef CROFTRUN_LAB_DOORS_H_
 #define CROFTRUN_LAB_DOORS_H_
 
@@ -11,40 +11,47 @@
 
 namespace croftrun::lab {
 
+// Traffic, network and duration of a comparison.
 struct DoorsSettings {
   std::uint64_t seed = 1;
-  // The network behind the door: so many set-ups at once take their time, more take longer in proportion.
-  double at_once = 20.0;
+  // The network behind admission control: up to `concurrency` set-ups at once take `set_up_us` each; beyond that, the
+  // time grows in proportion.
+  double concurrency = 20.0;
   TimeUs set_up_us = 50'000;
-  int quiet = 50;            // clients of one customer, of worth 2 a call
-  double quiet_per_s = 2.0;  // calls of each
-  int crowd = 60;            // clients of another, of worth 1; they dial again when refused, as told or after 300 ms
+  int quiet_clients = 50;    // clients of one customer, whose calls have worth 2
+  double quiet_per_s = 2.0;  // calls per second of each quiet client
+  int crowd_clients = 60;    // clients of another customer, whose calls have worth 1; they redial when refused, at the
+                             // time given or after 300 ms
   double crowd_per_s = 4.0;
-  double flood_per_s = 2'000;     // by one caller, under a new identity each
-  TimeUs length_us = 40'000'000;  // the flood runs from a quarter to three quarters of it
-  TimeUs patience_us = 2'000'000;
+  double flood_per_s = 2'000;     // calls of one caller, each under a new identity
+  TimeUs length_us = 40'000'000;  // the flood starts after a quarter of it and ends after three quarters
+  TimeUs caller_timeout_us = 2'000'000;
 };
 
+// Result of one policy at one flood rate.
 struct DoorFigures {
   std::string door;
-  double goodput = 0.0;       // worth a second that stood in time, of who is no flood, while the flood runs
-  double quiet_share = 0.0;   // of the quiet clients' calls that stood in time
-  double worst_client = 0.0;  // the same of the quiet client that fared worst
+  double goodput = 0.0;  // worth per second of the calls answered in time during the flood, without those of the flood
+  double quiet_share = 0.0;   // share of the quiet clients' calls answered in time
+  double worst_client = 0.0;  // the same for the worst-served quiet client
   double crowd_share = 0.0;
-  double p99_wait_ms = 0.0;  // at the door, of those let in
-  double told_kept = 0.0;    // of those who came back as promised, let in and stood; -1: nobody was promised anything
+  double p99_wait_ms = 0.0;  // time that admitted calls waited
+  // Share of the retries at a reserved time that were answered in time; -1: there was no such retry.
+  double told_kept = 0.0;
   std::uint64_t most_waiting = 0;
 };
 
-// fair, fifo, token bucket, none.
+// Names of the policies: fair, fifo, token bucket, none.
 const std::vector<std::string>& DoorNames();
-DoorFigures PlayDoor(const std::string& door, const DoorsSettings& settings);
+// Runs the comparison's traffic against one policy. Throws std::invalid_argument for an unknown name.
+DoorFigures PlayDoor(const std::string& policy, const DoorsSettings& settings);
 
-// Goodput and the quiet clients' share over the flood's rate, for each door.
+// Results over the flood rate, for each policy.
 struct DoorsCurve {
-  std::vector<double> floods;
-  std::vector<std::vector<DoorFigures>> by_door;  // [door][flood]
+  std::vector<double> floods;                     // calls per second, ascending
+  std::vector<std::vector<DoorFigures>> by_door;  // [policy][flood]
 };
+// Returns an SVG chart of the goodput and of the quiet clients' share over the flood rate.
 std::string DoorsPicture(const DoorsCurve& curve);
 
 }  // namespace croftrun::lab
