--- a/src/ws/server.h
+++ b/src/ws/server.h
@@ -1,9 +1,9 @@
-// The API's transport: WebSocket (RFC 6455) over TCP, by Boost.Beast, on the edge's own event loop. It knows
-// nothing of calls.
+// Transport of the API: WebSocket (RFC 6455) over TCP with Boost.Beast, on the event loop of the edge. It knows nothing
+// about calls.
 //
-// Each connection has one owner, the server, and two coroutines that hold it; closing its socket ends both.
-// Bounded: connections, time for the handshake, size of a message, time without a sign of life (pings), what
-// waits to be sent (the session manager closes it).
+// The server owns the connections. Two coroutines, a reader and a writer, hold a reference to each connection; closing
+// its socket ends both. The number of connections, the handshake time, the message size and the idle time (checked with
+// pings) are bounded here; the output queue is bounded by the session manager, which closes the connection.
 #ifndef CROFTRUN_WS_SERVER_H_
 #define CROFTRUN_WS_SERVER_H_
 
@@ -20,18 +20,20 @@
 struct ServerSettings {
   core::Address listen;
   std::size_t most_connections = 1'024;
-  TimeUs handshake_us = 3'000'000;
-  TimeUs idle_us = 30'000'000;  // a ping after half of it, closed after all of it
+  TimeUs handshake_timeout_us = 3'000'000;
+  TimeUs idle_us = 30'000'000;  // after half of this time a ping is sent, after all of it the connection is closed
   std::size_t most_octets = 8'192;
-  std::size_t accepts_per_s = 200;  // beyond, a connection is closed as it comes
+  std::size_t accepts_per_s = 200;  // connections beyond this rate are closed at once
 };
 
+// Accepts WebSocket connections and passes their messages to the session manager.
 class Server {
  public:
   struct Counters {
-    std::uint64_t accepted = 0, turned_away = 0, handshakes_failed = 0;
+    std::uint64_t accepted = 0, rejected = 0, handshakes_failed = 0;
   };
-  // Binds; throws boost::system::system_error. `context` and `session_manager` outlive it.
+  // Binds the listening socket; throws boost::system::system_error on failure. `context` and `session_manager` must
+  // outlive the server.
   Server(boost::asio::io_context* context, const ServerSettings& settings, SessionManager* session_manager);
   ~Server();
   Server(const Server&) = delete;
--- a/src/ws/session.h
+++ b/src/ws/session.h
@@ -1,5 +1,5 @@
-// What a client of the API has here, whichever connection it comes by: its calls, the replies it may ask for
-// again, and the events it has not confirmed. Decisions only; bounded in every direction; no I/O, no clock.
+// State of one API client, independent of the connection it uses: its calls, the replies it may request again, and the
+// events it has not acknowledged. Makes decisions only; every container is bounded; no I/O, no clock.
 #ifndef CROFTRUN_WS_SESSION_H_
 #define CROFTRUN_WS_SESSION_H_
 
@@ -17,80 +17,83 @@
 namespace croftrun::ws {
 
 struct SessionSettings {
-  std::size_t most_requests = 256;  // replies remembered, for commands that come again
-  std::size_t most_calls = 64;      // open at once
+  std::size_t max_stored_replies = 256;  // for commands that are repeated
+  std::size_t most_calls = 64;           // open at once
   admission::TokenBucketSettings commands = {50.0, 100.0};
 };
 
 class Session {
  public:
   explicit Session(const SessionSettings& settings) : settings_(settings) {
-    commands_.tokens = settings.commands.burst;
+    command_bucket_.tokens = settings.commands.burst;
   }
 
-  // A command within the rate; false: too many.
-  bool Within(TimeUs now) { return commands_.TryConsume(settings_.commands, now); }
+  // Counts a command against the rate limit. Returns false if the limit is exceeded.
+  bool TryConsumeCommand(TimeUs now) { return command_bucket_.TryConsume(settings_.commands, now); }
 
-  // The reply to a command of this id, if it was carried out before.
-  const std::string* Known(const std::string& id) const {
+  // Returns the reply to an earlier command with this id, or null if none is stored.
+  const std::string* FindReply(const std::string& id) const {
     const auto found = replies_.find(id);
     return found == replies_.end() ? nullptr : &found->second;
   }
-  void Remember(const std::string& id, std::string reply) {
+  void StoreReply(const std::string& id, std::string reply) {
     if (!replies_.emplace(id, std::move(reply)).second) return;
-    order_.push_back(id);
-    if (order_.size() <= settings_.most_requests) return;
-    replies_.erase(order_.front());
-    order_.pop_front();
+    reply_order_.push_back(id);
+    if (reply_order_.size() <= settings_.max_stored_replies) return;
+    replies_.erase(reply_order_.front());
+    reply_order_.pop_front();
   }
 
   // ---- calls ----
-  bool MayPlace() const { return calls_.size() < settings_.most_calls; }
-  void Open(CallId call) { calls_.insert(call); }
-  void Close(CallId call) { calls_.erase(call); }
-  bool Holds(CallId call) const { return calls_.count(call) > 0; }
+  bool CanPlaceCall() const { return calls_.size() < settings_.most_calls; }
+  void AddCall(CallId call) { calls_.insert(call); }
+  void RemoveCall(CallId call) { calls_.erase(call); }
+  bool HasCall(CallId call) const { return calls_.count(call) > 0; }
   const std::set<CallId>& calls() const { return calls_; }
 
-  // ---- events of calls: kept until confirmed ----
-  // Two for each call at most, its answer and its end, so what is kept follows from the calls; a client that
-  // never confirms keeps `most_kept` of them, the oldest delivered ones go first.
-  std::size_t most_kept() const { return 4 * settings_.most_calls; }
-  // Numbers the event, keeps it, and returns its text. `delivered`: a connection takes it now.
-  const std::string& Tell(std::string_view event, nlohmann::json figures, bool delivered) {
-    kept_.push_back({++sequence_, EventText(sequence_, event, std::move(figures)), delivered});
-    while (kept_.size() > most_kept() && kept_.front().delivered) kept_.pop_front();
-    return kept_.back().text;
+  // ---- events of calls, stored until acknowledged ----
+  // Each call has two events at most, its answer and its end, so the number of calls bounds the number of events. For a
+  // client that never acknowledges, `max_unacknowledged` events are stored; the oldest delivered ones are dropped
+  // first.
+  std::size_t max_unacknowledged() const { return 4 * settings_.most_calls; }
+  // Numbers and stores the event and returns its text. `delivered`: it is sent on a connection now.
+  const std::string& AddEvent(std::string_view event, nlohmann::json fields, bool delivered) {
+    unacknowledged_.push_back({++sequence_, EventText(sequence_, event, std::move(fields)), delivered});
+    while (unacknowledged_.size() > max_unacknowledged() && unacknowledged_.front().delivered)
+      unacknowledged_.pop_front();
+    return unacknowledged_.back().text;
   }
-  // More than may be kept came while nobody was there to take it.
-  bool Overrun() const { return kept_.size() > most_kept(); }
-  void Confirm(std::uint64_t have) {
-    while (!kept_.empty() && kept_.front().sequence <= have) kept_.pop_front();
+  // True if more events than may be stored arrived while no connection was there to deliver them.
+  bool HasOverflowed() const { return unacknowledged_.size() > max_unacknowledged(); }
+  // Drops the events up to and including this sequence number.
+  void Acknowledge(std::uint64_t last_received) {
+    while (!unacknowledged_.empty() && unacknowledged_.front().sequence <= last_received) unacknowledged_.pop_front();
   }
-  // What a client that came back has not seen, in order; each is told once on that connection.
-  std::vector<std::string> Missed(std::uint64_t have) {
-    Confirm(have);
-    std::vector<std::string> missed;
-    for (Kept& kept : kept_) {
-      missed.push_back(kept.text);
-      kept.delivered = true;
+  // Returns the events after `last_received` in order, to be sent to a client that resumes, and marks them delivered.
+  std::vector<std::string> EventsAfter(std::uint64_t last_received) {
+    Acknowledge(last_received);
+    std::vector<std::string> texts;
+    for (Event& event : unacknowledged_) {
+      texts.push_back(event.text);
+      event.delivered = true;
     }
-    return missed;
+    return texts;
   }
   std::uint64_t sequence() const { return sequence_; }
-  std::size_t kept() const { return kept_.size(); }
+  std::size_t unacknowledged() const { return unacknowledged_.size(); }
 
  private:
-  struct Kept {
+  struct Event {
     std::uint64_t sequence = 0;
     std::string text;
     bool delivered = false;
   };
   SessionSettings settings_;
-  admission::TokenBucket commands_;
+  admission::TokenBucket command_bucket_;
   std::unordered_map<std::string, std::string> replies_;
-  std::deque<std::string> order_;
+  std::deque<std::string> reply_order_;
   std::set<CallId> calls_;
-  std::deque<Kept> kept_;
+  std::deque<Event> unacknowledged_;
   std::uint64_t sequence_ = 0;
 };
 
--- a/src/ws/session_manager.cpp
+++ b/src/ws/session_manager.cpp
@@ -8,38 +8,38 @@
 
 using nlohmann::json;
 
-constexpr TimeUs kSweep = 500'000;
-constexpr std::string_view kAnswers[] = {"stands", "refused", "failed"};
+constexpr TimeUs kCleanupIntervalUs = 500'000;
+constexpr std::string_view kAnswerNames[] = {"stands", "refused", "failed"};
 
 }  // namespace
 
 SessionManager::SessionManager(const SessionManagerSettings& settings, core::Runtime* runtime, CallService* calls)
-    : settings_(settings), runtime_(runtime), calls_(calls), sweep_(runtime) {
-  sweep_.Start(kSweep, [this] { Sweep(); });
+    : settings_(settings), runtime_(runtime), calls_(calls), cleanup_timer_(runtime) {
+  cleanup_timer_.Start(kCleanupIntervalUs, [this] { CloseExpired(); });
 }
 
-std::string SessionManager::NewName() {
-  std::string name;
+std::string SessionManager::NewSessionId() {
+  std::string session_id;
   for (int i = 0; i < 4; ++i) {
-    std::uint64_t draw = runtime_->Random();
-    for (int j = 0; j < 8; ++j, draw >>= 4U) name += "0123456789abcdef"[draw & 15U];
+    std::uint64_t bits = runtime_->Random();
+    for (int j = 0; j < 8; ++j, bits >>= 4U) session_id += "0123456789abcdef"[bits & 15U];
   }
-  return name;
+  return session_id;
 }
 
-SessionManager::ConnectionId SessionManager::OnOpened(ConnectionOutput* sink, std::string address) {
+SessionManager::ConnectionId SessionManager::OnOpened(ConnectionOutput* output, std::string address) {
   ++counters_.connections;
-  const ConnectionId id = next_++;
-  connections_[id] = {sink, std::move(address), nullptr, runtime_->Now(), false};
+  const ConnectionId id = next_connection_id_++;
+  connections_[id] = {output, std::move(address), nullptr, runtime_->Now(), false};
   return id;
 }
 
 void SessionManager::OnClosed(ConnectionId id) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
-  if (Held* held = found->second.held; held != nullptr && held->connection == id) {
-    held->connection = 0;
-    held->away_since = runtime_->Now();
+  if (ClientSession* session = found->second.session; session != nullptr && session->connection == id) {
+    session->connection = 0;
+    session->away_since = runtime_->Now();
   }
   connections_.erase(found);
 }
@@ -47,28 +47,27 @@
 void SessionManager::Send(ConnectionId id, std::string text) {
   const auto found = connections_.find(id);
   if (found == connections_.end() || found->second.closing) return;
-  // A slow reader must not cost memory without bound: what it is owed stays in its session, for when it
-  // resumes.
-  if (found->second.sink->Queued() + text.size() > settings_.most_queued) {
+  // The memory for a slow consumer is bounded. Its unacknowledged events stay in the session until it resumes.
+  if (found->second.output->QueuedOctets() + text.size() > settings_.most_queued) {
     ++counters_.slow_readers;
     return Close(id, 1013, "you read too slowly; resume the session");
   }
-  found->second.sink->Send(std::move(text));
+  found->second.output->Send(std::move(text));
 }
 
 void SessionManager::Close(ConnectionId id, int code, std::string reason) {
   const auto found = connections_.find(id);
   if (found == connections_.end() || found->second.closing) return;
   found->second.closing = true;
-  if (Held* held = found->second.held; held != nullptr && held->connection == id) {
-    held->connection = 0;
-    held->away_since = runtime_->Now();
+  if (ClientSession* session = found->second.session; session != nullptr && session->connection == id) {
+    session->connection = 0;
+    session->away_since = runtime_->Now();
   }
-  found->second.sink->Close(code, std::move(reason));
+  found->second.output->Close(code, std::move(reason));
 }
 
-bool SessionManager::Expired(const Held& held) const {
-  return held.identity.expires_s != 0 && runtime_->WallClockUs() / 1'000'000 >= held.identity.expires_s;
+bool SessionManager::IsTokenExpired(const ClientSession& session) const {
+  return session.identity.expires_s != 0 && runtime_->WallClockUs() / 1'000'000 >= session.identity.expires_s;
 }
 
 void SessionManager::OnText(ConnectionId id, std::string_view text) {
@@ -79,41 +78,41 @@
   if (const auto* error = std::get_if<ApiError>(&parsed)) {
     ++counters_.mistakes;
     Send(id, ErrorText(*error));
-    // Without an identity, a mistake is all there is to know of it.
-    if (found->second.held == nullptr) Close(id, 1008, "expected a hello");
+    // A client that has not authenticated is not allowed invalid commands.
+    if (found->second.session == nullptr) Close(id, 1008, "expected a hello");
     return;
   }
   const Command& command = std::get<Command>(parsed);
-  if (command.what == Do::kHello) return Hello(id, command);
-  Held* held = found->second.held;
-  if (held == nullptr) {
+  if (command.type == CommandType::kHello) return HandleHello(id, command);
+  ClientSession* session = found->second.session;
+  if (session == nullptr) {
     ++counters_.mistakes;
     Send(id, ErrorText({command.id, "hello-first", "expected a hello before anything else"}));
     return Close(id, 1008, "expected a hello");
   }
-  if (const std::string* known = held->session.Known(command.id)) {
-    // The same command again, after a lost reply: the same reply, and nothing is carried out.
+  if (const std::string* reply = session->state.FindReply(command.id)) {
+    // The client repeats a command whose reply was lost: it gets the same reply, and nothing is executed.
     ++counters_.repeated;
-    return Send(id, *known);
+    return Send(id, *reply);
   }
-  if (!held->session.Within(runtime_->Now())) {
+  if (!session->state.TryConsumeCommand(runtime_->Now())) {
     ++counters_.over_rate;
     return Send(id,
                 ErrorText({command.id, "too-many-commands", "wait before the next one; this one was not carried out"}));
   }
   ApiError error{command.id, "", ""};
-  json result = Carry(*held, command, &error);
+  json result = Execute(*session, command, &error);
   std::string reply = error.code.empty() ? ReplyText(command.id, std::move(result)) : ErrorText(error);
-  held->session.Remember(command.id, reply);
+  session->state.StoreReply(command.id, reply);
   Send(id, std::move(reply));
-  // The answer to a call that came at once follows the reply that names the call.
+  // Events of a call that was answered while it was being placed follow the reply that names the call.
   if (early_call_ != 0) {
     const CallId call = std::exchange(early_call_, 0);
-    for (auto& [event, figures] : std::exchange(early_, {})) Tell(call, event, std::move(figures));
+    for (auto& [event, fields] : std::exchange(early_events_, {})) SendEvent(call, event, std::move(fields));
   }
 }
 
-void SessionManager::Hello(ConnectionId id, const Command& command) {
+void SessionManager::HandleHello(ConnectionId id, const Command& command) {
   ++counters_.hellos;
   Connection& connection = connections_.at(id);
   std::optional<Identity> identity = Identity{connection.address, "", 0};
@@ -124,27 +123,27 @@
                         identity ? "the token has expired" : "expected a token signed with a key in force"}));
     return Close(id, 1008, "denied");
   }
-  if (connection.held != nullptr) {
-    // A fresh token for who is here already; it must be the same client.
-    if (identity->client != connection.held->identity.client) {
+  if (connection.session != nullptr) {
+    // A session that is already attached renews its token; the client must be the same.
+    if (identity->client != connection.session->identity.client) {
       ++counters_.denied;
       Send(id, ErrorText({command.id, "denied", "this session is another client's"}));
       return;
     }
-    connection.held->identity = *identity;
-    return Send(id, ReplyText(command.id, {{"session", connection.held->name}}));
+    connection.session->identity = *identity;
+    return Send(id, ReplyText(command.id, {{"session", connection.session->id}}));
   }
-  Held* held = nullptr;
+  ClientSession* session = nullptr;
   bool resumed = false;
   if (!command.session.empty()) {
-    const auto known = sessions_.find(command.session);
-    if (known == sessions_.end() || known->second->identity.client != identity->client) {
+    const auto existing = sessions_.find(command.session);
+    if (existing == sessions_.end() || existing->second->identity.client != identity->client) {
       Send(id, ErrorText({command.id, "no-session", "no such session; it may have ended while you were away"}));
       return;
     }
-    held = known->second.get();
-    // The old connection may not know yet that it is dead.
-    if (held->connection != 0) Close(held->connection, 4001, "the session was resumed elsewhere");
+    session = existing->second.get();
+    // The loss of the old connection may not have been detected yet.
+    if (session->connection != 0) Close(session->connection, 4001, "the session was resumed elsewhere");
     resumed = true;
     ++counters_.resumed;
   } else {
@@ -152,172 +151,173 @@
       Send(id, ErrorText({command.id, "full", "too many sessions; come back later"}));
       return Close(id, 1013, "too many sessions");
     }
-    auto fresh = std::make_unique<Held>(Held{NewName(), {}, Session(settings_.session), 0, 0, false, false});
-    held = fresh.get();
-    sessions_[held->name] = std::move(fresh);
+    auto created = std::make_unique<ClientSession>(
+        ClientSession{NewSessionId(), {}, Session(settings_.session), 0, 0, false, false});
+    session = created.get();
+    sessions_[session->id] = std::move(created);
     ++counters_.sessions;
   }
-  held->identity = *identity;
-  held->connection = id;
-  connection.held = held;
-  Send(id, ReplyText(command.id, {{"session", held->name},
+  session->identity = *identity;
+  session->connection = id;
+  connection.session = session;
+  Send(id, ReplyText(command.id, {{"session", session->id},
                                   {"resumed", resumed},
-                                  {"seq", held->session.sequence()},
+                                  {"seq", session->state.sequence()},
                                   {"resume_ms", settings_.resume_us / 1000}}));
   if (!resumed) return;
-  for (std::string& event : held->session.Missed(command.have)) Send(id, std::move(event));
+  for (std::string& event : session->state.EventsAfter(command.last_received)) Send(id, std::move(event));
 }
 
-json SessionManager::Carry(Held& held, const Command& command, ApiError* error) {
-  switch (command.what) {
-    case Do::kPlace:
-      return Place(held, command, error);
-    case Do::kHangUp:
-      if (!held.session.Holds(static_cast<CallId>(command.call))) {
+json SessionManager::Execute(ClientSession& session, const Command& command, ApiError* error) {
+  switch (command.type) {
+    case CommandType::kPlace:
+      return PlaceCall(session, command, error);
+    case CommandType::kHangUp:
+      if (!session.state.HasCall(static_cast<CallId>(command.call))) {
         *error = {command.id, "no-call",
                   "/call: expected a call of this session that is up, found " + std::to_string(command.call)};
         return {};
       }
-      held.session.Close(static_cast<CallId>(command.call));
-      owners_.erase(static_cast<CallId>(command.call));
+      session.state.RemoveCall(static_cast<CallId>(command.call));
+      session_of_call_.erase(static_cast<CallId>(command.call));
       calls_->HangUp(static_cast<CallId>(command.call));
       return {{"call", command.call}};
-    case Do::kFollow:
-      return {{"call", command.call}, {"up", held.session.Holds(static_cast<CallId>(command.call))}};
-    case Do::kSubscribe:
-      held.groups = command.groups;
-      held.roster = command.roster;
+    case CommandType::kFollow:
+      return {{"call", command.call}, {"up", session.state.HasCall(static_cast<CallId>(command.call))}};
+    case CommandType::kSubscribe:
+      session.groups = command.groups;
+      session.roster = command.roster;
       return json::object();
-    case Do::kList: {
+    case CommandType::kList: {
       if (command.list != "calls") return {{command.list, calls_->List(command.list)}};
       json list = json::array();
-      for (const CallId call : held.session.calls()) list.push_back(call);
+      for (const CallId call : session.state.calls()) list.push_back(call);
       return {{"calls", list}};
     }
-    case Do::kAck:
-      held.session.Confirm(command.have);
+    case CommandType::kAck:
+      session.state.Acknowledge(command.last_received);
       return json::object();
-    case Do::kHello:
+    case CommandType::kHello:
       break;
   }
   return json::object();
 }
 
-json SessionManager::Place(Held& held, const Command& command, ApiError* error) {
-  if (Expired(held)) {
+json SessionManager::PlaceCall(ClientSession& session, const Command& command, ApiError* error) {
+  if (IsTokenExpired(session)) {
     *error = {command.id, "token-expired", "say hello with a fresh token; calls that are up go on"};
     return {};
   }
-  if (!held.session.MayPlace()) {
+  if (!session.state.CanPlaceCall()) {
     *error = {command.id, "too-many-calls",
               "expected at most " + std::to_string(settings_.session.most_calls) + " calls at once"};
     return {};
   }
-  core::CallRequest offer;
-  offer.called = command.called;
-  offer.calling = command.calling.empty() ? held.identity.client : command.calling;
-  offer.caller_timeout_us = command.patience_us;
+  core::CallRequest request;
+  request.called = command.called;
+  request.calling = command.calling.empty() ? session.identity.client : command.calling;
+  request.caller_timeout_us = command.caller_timeout_us;
   bool refused = false;
-  TimeUs pause_us = 0;
-  if (!calls_->Classify(&offer, held.identity.customer, &refused, &pause_us)) {
+  TimeUs retry_after_us = 0;
+  if (!calls_->Classify(&request, session.identity.customer, &refused, &retry_after_us)) {
     *error = refused ? ApiError{command.id, "refused-by-rule", "a rule of this exchange refuses the call"}
                      : ApiError{command.id, "unallocated", "/called: nobody has this number"};
     return {};
   }
   ++counters_.placed;
-  placing_ = &held;
-  early_.clear();
-  const CallId call = calls_->Take(offer, this, held.identity.client);
-  placing_ = nullptr;
-  held.session.Open(call);
-  owners_[call] = &held;
-  // Answered from within: what was told goes out behind the reply that names the call.
-  if (!early_.empty()) early_call_ = call;
+  placing_session_ = &session;
+  early_events_.clear();
+  const CallId call = calls_->Take(request, this, session.identity.client);
+  placing_session_ = nullptr;
+  session.state.AddCall(call);
+  session_of_call_[call] = &session;
+  // The call was answered before its id was known: OnText sends the events after the reply that names the call.
+  if (!early_events_.empty()) early_call_ = call;
   return {{"call", call}};
 }
 
-void SessionManager::Tell(CallId call, std::string_view event, json figures) {
-  const auto owner = owners_.find(call);
-  if (owner == owners_.end()) return;
-  Held& held = *owner->second;
-  const bool over = event == "ended" || (event == "final" && figures.at("answer") != "stands");
-  figures["call"] = call;
-  const std::string text = held.session.Tell(event, std::move(figures), held.connection != 0);
-  if (over) {
-    held.session.Close(call);
-    owners_.erase(owner);
+void SessionManager::SendEvent(CallId call, std::string_view event, json fields) {
+  const auto owner = session_of_call_.find(call);
+  if (owner == session_of_call_.end()) return;
+  ClientSession& session = *owner->second;
+  const bool ended = event == "ended" || (event == "final" && fields.at("answer") != "stands");
+  fields["call"] = call;
+  const std::string text = session.state.AddEvent(event, std::move(fields), session.connection != 0);
+  if (ended) {
+    session.state.RemoveCall(call);
+    session_of_call_.erase(owner);
   }
-  if (held.connection != 0) Send(held.connection, text);
+  if (session.connection != 0) Send(session.connection, text);
 }
 
 void SessionManager::OnFinalAnswer(CallId call, const core::FinalAnswer& answer) {
-  json figures = {{"answer", kAnswers[static_cast<std::size_t>(answer.kind)]},
-                  {"cause", static_cast<int>(answer.cause)}};
-  if (answer.retry_after_us > 0) figures["pause_ms"] = answer.retry_after_us / 1000;
-  if (placing_ != nullptr && owners_.count(call) == 0) {
-    early_.emplace_back("final", std::move(figures));
+  json fields = {{"answer", kAnswerNames[static_cast<std::size_t>(answer.kind)]},
+                 {"cause", static_cast<int>(answer.cause)}};
+  if (answer.retry_after_us > 0) fields["pause_ms"] = answer.retry_after_us / 1000;
+  if (placing_session_ != nullptr && session_of_call_.count(call) == 0) {
+    early_events_.emplace_back("final", std::move(fields));
     return;
   }
-  Tell(call, "final", std::move(figures));
+  SendEvent(call, "final", std::move(fields));
 }
 
 void SessionManager::OnCallEnded(CallId call, core::ReleaseCause cause) {
-  json figures = {{"cause", static_cast<int>(cause)}};
-  if (placing_ != nullptr && owners_.count(call) == 0) {
-    early_.emplace_back("ended", std::move(figures));
+  json fields = {{"cause", static_cast<int>(cause)}};
+  if (placing_session_ != nullptr && session_of_call_.count(call) == 0) {
+    early_events_.emplace_back("ended", std::move(fields));
     return;
   }
-  Tell(call, "ended", std::move(figures));
+  SendEvent(call, "ended", std::move(fields));
 }
 
-void SessionManager::TellAll(bool Held::*wanted, const char* what) {
+void SessionManager::PublishToSubscribers(bool ClientSession::*subscribed, const char* what) {
   json list;
-  for (auto& [name, held] : sessions_) {
-    if (!((*held).*wanted) || held->connection == 0) continue;
+  for (auto& [id, session] : sessions_) {
+    if (!((*session).*subscribed) || session->connection == 0) continue;
     if (list.is_null()) list = calls_->List(what);
-    // News that the next replaces: not numbered, not kept.
-    Send(held->connection, EventText(0, what, {{what, list}}));
+    // The next list replaces this one, so the event is neither numbered nor stored.
+    Send(session->connection, EventText(0, what, {{what, list}}));
   }
 }
 
-void SessionManager::TellGroups() { TellAll(&Held::groups, "groups"); }
-void SessionManager::TellRoster() { TellAll(&Held::roster, "roster"); }
+void SessionManager::TellGroups() { PublishToSubscribers(&ClientSession::groups, "groups"); }
+void SessionManager::TellRoster() { PublishToSubscribers(&ClientSession::roster, "roster"); }
 
-void SessionManager::End(const std::string& name) {
-  const auto found = sessions_.find(name);
+void SessionManager::EndSession(const std::string& id) {
+  const auto found = sessions_.find(id);
   if (found == sessions_.end()) return;
   ++counters_.expired;
-  const std::unique_ptr<Held> held = std::move(found->second);
+  const std::unique_ptr<ClientSession> session = std::move(found->second);
   sessions_.erase(found);
-  counters_.lost_events += held->session.kept();
-  for (const CallId call : held->session.calls()) {
-    owners_.erase(call);
+  counters_.lost_events += session->state.unacknowledged();
+  for (const CallId call : session->state.calls()) {
+    session_of_call_.erase(call);
     calls_->HangUp(call);
   }
 }
 
-void SessionManager::Sweep() {
+void SessionManager::CloseExpired() {
   const TimeUs now = runtime_->Now();
-  std::vector<std::string> over;
-  for (const auto& [name, held] : sessions_) {
-    const bool away = held->connection == 0 && now - held->away_since >= settings_.resume_us;
-    if (away || held->session.Overrun()) over.push_back(name);
+  std::vector<std::string> ended;
+  for (const auto& [id, session] : sessions_) {
+    const bool away = session->connection == 0 && now - session->away_since >= settings_.resume_us;
+    if (away || session->state.HasOverflowed()) ended.push_back(id);
   }
-  for (const std::string& name : over) {
-    if (const ConnectionId connection = sessions_.at(name)->connection; connection != 0)
+  for (const std::string& id : ended) {
+    if (const ConnectionId connection = sessions_.at(id)->connection; connection != 0)
       Close(connection, 4002, "events were not confirmed");
-    for (auto& [id, connection] : connections_) {
-      if (connection.held == sessions_.at(name).get()) connection.held = nullptr;
+    for (auto& [connection_id, other] : connections_) {
+      if (other.session == sessions_.at(id).get()) other.session = nullptr;
     }
-    End(name);
+    EndSession(id);
   }
-  std::vector<ConnectionId> silent;
+  std::vector<ConnectionId> without_hello;
   for (const auto& [id, connection] : connections_) {
-    if (connection.held == nullptr && !connection.closing && now - connection.opened >= settings_.hello_us)
-      silent.push_back(id);
+    if (connection.session == nullptr && !connection.closing && now - connection.opened_at >= settings_.hello_us)
+      without_hello.push_back(id);
   }
-  for (const ConnectionId id : silent) Close(id, 1008, "expected a hello");
-  sweep_.Start(kSweep, [this] { Sweep(); });
+  for (const ConnectionId id : without_hello) Close(id, 1008, "expected a hello");
+  cleanup_timer_.Start(kCleanupIntervalUs, [this] { CloseExpired(); });
 }
 
 }  // namespace croftrun::ws
--- a/src/ws/session_manager.h
+++ b/src/ws/session_manager.h
@@ -1,11 +1,12 @@
-// The front of the API between connections and the core: who is there, what they ask, what they are told. It
-// uses the core by the same intake as the MGCP front, so door, rules of the module and answers are the same.
-// No sockets: a connection is a ConnectionOutput.
+// Session layer of the API, between the connections and the core: authenticates clients, executes their commands and
+// sends them replies and events. It reaches the core through the same admission front as the MGCP front, so admission
+// control, the rules of the module and the answers are the same. It uses no sockets: a connection is a
+// ConnectionOutput.
 //
-// States of a session            left by
-//   attached    a connection      that closes, or another takes the session over
-//   away        none              a hello with its name within `resume_us`; else it ends and its calls are
-//   hung up
+// State of a session   connection   left when
+//   attached           one          the connection closes, or another connection resumes the session
+//   away               none         a hello resumes the session within `resume_us`; otherwise the session ends and its
+//                                   calls are hung up
 #ifndef CROFTRUN_WS_SESSION_MANAGER_H_
 #define CROFTRUN_WS_SESSION_MANAGER_H_
 
@@ -24,40 +25,46 @@
 
 namespace croftrun::ws {
 
-// One connection, as its transport has it. Outlives OnClosed.
+// Output side of a connection, implemented by the transport. Has to stay valid until OnClosed.
 class ConnectionOutput {
  public:
   virtual ~ConnectionOutput() = default;
+  // Queues a message to the client.
   virtual void Send(std::string text) = 0;
-  // What was sent and has not left yet, in octets.
-  virtual std::size_t Queued() const = 0;
-  // Codes as in RFC 6455 7.4: 1008 policy, 1013 try again later; 4000 and on are ours (docs/api.md).
+  // Octets passed to Send that have not been written to the socket yet.
+  virtual std::size_t QueuedOctets() const = 0;
+  // Close codes as in RFC 6455 7.4: 1008 policy violation, 1013 try again later; codes from 4000 are defined by this
+  // API (docs/api.md).
   virtual void Close(int code, std::string reason) = 0;
 };
 
 struct SessionManagerSettings {
-  std::vector<std::string> token_keys;  // none: whoever connects is a client by its address
+  std::vector<std::string> token_keys;  // empty: clients need no token and are identified by address
   std::size_t most_sessions = 1'024;
-  std::size_t most_queued = 256 << 10;  // octets to a connection; beyond, it reads too slowly and is closed
-  TimeUs resume_us = 30'000'000;
-  TimeUs hello_us = 5'000'000;  // within which a connection says who it is
+  std::size_t most_queued = 256 << 10;  // octets to a connection; a slow consumer beyond this is disconnected
+  TimeUs resume_us = 30'000'000;        // time within which a session without a connection can be resumed
+  TimeUs hello_us = 5'000'000;          // time within which a new connection has to send its hello
   ApiLimits api;
   SessionSettings session;
 };
 
-// What the desk asks of the edge around it: fronts share the classification of calls and the way into the
-// core.
+// Services of the edge that the session manager uses. All fronts share the classification of calls and the path into
+// the core.
 class CallService {
  public:
   virtual ~CallService() = default;
-  // Number plan, class, customer, rules. False: nobody has that number, or a rule refuses it (`*refused`,
-  // `*pause_us`).
-  virtual bool Classify(core::CallRequest* offer, const std::string& customer, bool* refused, TimeUs* pause_us) = 0;
-  virtual CallId Take(const core::CallRequest& offer, core::CallOwner* owner, std::string_view client) = 0;
+  // Looks the number up, applies the rules and fills in class and customer. Returns false if the number is unallocated
+  // or if a rule refuses the call; in the latter case, `*refused` is set and `*retry_after_us` is the rule's.
+  virtual bool Classify(core::CallRequest* request, const std::string& customer, bool* refused,
+                        TimeUs* retry_after_us) = 0;
+  // Starts a call and returns its id. `owner` may receive the final answer before this returns.
+  virtual CallId Take(const core::CallRequest& request, core::CallOwner* owner, std::string_view client) = 0;
   virtual void HangUp(CallId call) = 0;
+  // Returns the list of "groups" or "roster" entries.
   virtual nlohmann::json List(const std::string& what) = 0;
 };
 
+// Manages the sessions of all API clients.
 class SessionManager final : public core::CallOwner {
  public:
   struct Counters {
@@ -67,18 +74,19 @@
   };
   using ConnectionId = std::uint64_t;
 
-  // All outlive it.
+  // `runtime` and `calls` must outlive the session manager.
   SessionManager(const SessionManagerSettings& settings, core::Runtime* runtime, CallService* calls);
 
-  // `address`: where it comes from, for clients without a token.
-  ConnectionId OnOpened(ConnectionOutput* sink, std::string address);
+  // Registers a connection. `address` identifies the client if no token is required.
+  ConnectionId OnOpened(ConnectionOutput* output, std::string address);
+  // Handles a message of the client.
   void OnText(ConnectionId connection, std::string_view text);
-  // The transport has lost it; the sink is not used any more.
+  // Handles the loss of the connection; its output is not used afterwards.
   void OnClosed(ConnectionId connection);
-  // Keys in force from now on; who is known stays known until its token expires.
+  // Replaces the token keys. Clients that are authenticated stay so until their token expires.
   void SetKeys(std::vector<std::string> keys) { settings_.token_keys = std::move(keys); }
 
-  // One of the groups changed, or the roster: told to who subscribed.
+  // Send the current groups or roster to the clients that subscribed to them.
   void TellGroups();
   void TellRoster();
 
@@ -90,46 +98,47 @@
   const Counters& counters() const { return counters_; }
 
  private:
-  struct Held {
-    std::string name;  // of the session, known to its client only
+  struct ClientSession {
+    std::string id;  // secret, known only to the client
     Identity identity;
-    Session session;
+    Session state;
     ConnectionId connection = 0;  // 0: away
     TimeUs away_since = 0;
-    bool groups = false, roster = false;
+    bool groups = false, roster = false;  // subscriptions
   };
   struct Connection {
-    ConnectionOutput* sink = nullptr;
+    ConnectionOutput* output = nullptr;
     std::string address;
-    Held* held = nullptr;  // null before its hello
-    TimeUs opened = 0;
+    ClientSession* session = nullptr;  // null before the hello
+    TimeUs opened_at = 0;
     bool closing = false;
   };
 
   void Send(ConnectionId id, std::string text);
   void Close(ConnectionId id, int code, std::string reason);
-  void Hello(ConnectionId id, const Command& command);
-  nlohmann::json Carry(Held& held, const Command& command, ApiError* error);
-  nlohmann::json Place(Held& held, const Command& command, ApiError* error);
-  void Tell(CallId call, std::string_view event, nlohmann::json figures);
-  void TellAll(bool Held::*wanted, const char* what);
-  void End(const std::string& name);
-  void Sweep();
-  bool Expired(const Held& held) const;
-  std::string NewName();
+  void HandleHello(ConnectionId id, const Command& command);
+  nlohmann::json Execute(ClientSession& session, const Command& command, ApiError* error);
+  nlohmann::json PlaceCall(ClientSession& session, const Command& command, ApiError* error);
+  void SendEvent(CallId call, std::string_view event, nlohmann::json fields);
+  void PublishToSubscribers(bool ClientSession::*subscribed, const char* what);
+  void EndSession(const std::string& id);
+  void CloseExpired();
+  bool IsTokenExpired(const ClientSession& session) const;
+  std::string NewSessionId();
 
   SessionManagerSettings settings_;
   core::Runtime* runtime_;
   CallService* calls_;
   std::map<ConnectionId, Connection> connections_;
-  std::map<std::string, std::unique_ptr<Held>> sessions_;
-  std::unordered_map<CallId, Held*> owners_;
-  // While a call is being taken its answer can come before its id is known.
-  Held* placing_ = nullptr;
-  std::vector<std::pair<std::string, nlohmann::json>> early_;
+  std::map<std::string, std::unique_ptr<ClientSession>> sessions_;
+  std::unordered_map<CallId, ClientSession*> session_of_call_;
+  // A call can be answered while it is being placed, before its id is known. Its events are kept here until the reply
+  // that names the call has been sent.
+  ClientSession* placing_session_ = nullptr;
+  std::vector<std::pair<std::string, nlohmann::json>> early_events_;
   CallId early_call_ = 0;
-  ConnectionId next_ = 1;
-  core::Timer sweep_;
+  ConnectionId next_connection_id_ = 1;
+  core::Timer cleanup_timer_;
   Counters counters_;
 };
 
--- a/src/ws/token.cpp
+++ b/src/ws/token.cpp
@@ -11,8 +11,9 @@
 namespace croftrun::ws {
 namespace {
 
-constexpr std::size_t kLongest = 256;
+constexpr std::size_t kMaxTokenOctets = 256;
 
+// Returns the HMAC-SHA-256 of the text in hexadecimal.
 std::string Mac(std::string_view text, std::string_view key) {
   std::array<unsigned char, EVP_MAX_MD_SIZE> mac{};
   unsigned size = 0;
@@ -28,7 +29,7 @@
 
 }  // namespace
 
-bool MayName(std::string_view name) {
+bool IsValidName(std::string_view name) {
   return name.size() <= 64 && std::all_of(name.begin(), name.end(), [](char c) {
            return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
          });
@@ -40,17 +41,17 @@
 }
 
 std::optional<Identity> ReadToken(std::string_view token, const std::vector<std::string>& keys) {
-  if (token.size() > kLongest) return std::nullopt;
+  if (token.size() > kMaxTokenOctets) return std::nullopt;
   const auto last = token.rfind('.');
   if (last == std::string_view::npos) return std::nullopt;
   const std::string_view text = token.substr(0, last), mac = token.substr(last + 1);
-  // Every key is tried, and each compared in constant time: how long it takes tells nothing of the key.
-  bool good = false;
+  // All keys are tried and every comparison takes constant time, so that the time taken reveals nothing about a key.
+  bool valid = false;
   for (const std::string& key : keys) {
     const std::string expected = Mac(text, key);
-    good = (expected.size() == mac.size() && ::CRYPTO_memcmp(expected.data(), mac.data(), mac.size()) == 0) || good;
+    valid = (expected.size() == mac.size() && ::CRYPTO_memcmp(expected.data(), mac.data(), mac.size()) == 0) || valid;
   }
-  if (!good) return std::nullopt;
+  if (!valid) return std::nullopt;
   const auto first = text.find('.');
   const auto second = first == std::string_view::npos ? first : text.find('.', first + 1);
   if (second == std::string_view::npos) return std::nullopt;
@@ -58,7 +59,7 @@
   const std::string_view expires = text.substr(second + 1);
   const auto [end, error] = std::from_chars(expires.data(), expires.data() + expires.size(), identity.expires_s);
   if (error != std::errc() || end != expires.data() + expires.size()) return std::nullopt;
-  if (identity.client.empty() || !MayName(identity.client) || !MayName(identity.customer)) return std::nullopt;
+  if (identity.client.empty() || !IsValidName(identity.client) || !IsValidName(identity.customer)) return std::nullopt;
   return identity;
 }
 
