--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -30,7 +30,7 @@
     return true;
   };
   if (events.Feed(text.substr(0, half), on_event)) events.Feed(text.substr(half), on_event);
-  std::vector<croftrun::config::Mistake> mistakes;
+  std::vector<croftrun::config::SettingsError> mistakes;
   ParseNodeConfig(text, "", "", &mistakes);
   return 0;
 }
--- a/fuzz/settings_fuzz.cpp
+++ b/fuzz/settings_fuzz.cpp
@@ -9,7 +9,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
-  std::vector<croftrun::config::Mistake> mistakes;
+  std::vector<croftrun::config::SettingsError> mistakes;
   const auto settings = croftrun::edge::ParseEdgeSettings(text, &mistakes);
   if (mistakes.empty()) {
     const auto meaning = settings.plan.Find("1234567");
--- a/include/croftrun/call_controller.h
+++ b/include/croftrun/call_controller.h
@@ -38,7 +38,7 @@
 };
 enum class Topology {
   kMeshed,  // exchanges with trunk groups to one another; other exchanges can serve as tandems
-  kGroups   // pools of equivalent exchanges, restricted by CallClass::pools
+  kPools    // pools of equivalent exchanges, restricted by CallClass::pools
 };
 // Whether the controller subscribes to the directory itself.
 enum class DiscoveryMode {
@@ -70,7 +70,7 @@
   double late_worth = 0.0;             // share of the worth of a call that is answered after the target delay
   double width = 1.0;                  // circuits that a call takes on each trunk group
   TimeUs holding_us = 0;               // mean holding time; 0: unknown
-  std::vector<int> pools;              // for Topology::kGroups: numbers of the permitted pools; empty: any
+  std::vector<int> pools;              // for Topology::kPools: numbers of the permitted pools; empty: any
 };
 
 struct Customer {
@@ -79,12 +79,12 @@
 };
 
 // Every field has a neutral default, so an embedder sets only what it knows. The controller itself does not use
-// own_zone, retransmit_interval_us, drain_grace_us, collapse_time_us, keep_alive_us, max_held_calls, marks_redials,
-// route_advice, reports_wait_time and the may_* permissions at present; embedders may.
+// own_zone, retransmit_interval_us, drain_grace_us, collapse_time_us, keep_alive_us, max_calls, marks_redials,
+// provides_route_advice, reports_wait_time and the may_* permissions at present; embedders may.
 struct Settings {
   Topology topology = Topology::kMeshed;
   DiscoveryMode discovery_mode = DiscoveryMode::kAutomatic;
-  int own_number = -1;  // number of the own exchange; -1 with Topology::kGroups
+  int own_number = -1;  // number of the own exchange; -1 with Topology::kPools
   int own_zone = 0;
   int softswitch_count = 1;         // softswitches that send set-ups to these exchanges, this one included
   std::vector<CallClass> classes;   // index: CallOffered::call_class
@@ -99,17 +99,17 @@
   double collapse_multiple = 0.0;  // an exchange collapses if sent more than this multiple of its capacity; 0: unknown
   TimeUs collapse_time_us = 0;     // ... for this long; 0: never
   TimeUs keep_alive_us = 0;
-  int max_attempts = 1;                  // set-ups for each call, including the first
-  std::uint32_t max_held_calls = 20000;  // calls that the softswitch may have in progress at a time
-  bool may_cancel = false;               // CancelSetUp is permitted
-  bool may_probe = false;                // SendProbe is permitted
+  int max_attempts = 1;             // set-ups for each call, including the first
+  std::uint32_t max_calls = 20000;  // calls that the softswitch may have in progress at a time
+  bool may_cancel = false;          // CancelSetUp is permitted
+  bool may_probe = false;           // SendProbe is permitted
   bool may_notify_peers = false;
-  bool may_duplicate = false;        // two attempts of a call may be pending at a time
-  bool honours_retry_after = false;  // callers observe RefuseCall::retry_after_us
-  TimeUs max_retry_after_us = 0;     // longest retry-after that callers observe
-  bool marks_redials = false;        // CallOffered::is_redial is set
-  bool route_advice = false;         // CallOffered::via may name an advised tandem
-  bool reports_wait_time = false;    // AttemptEnded::wait_us is set
+  bool may_duplicate = false;          // two attempts of a call may be pending at a time
+  bool honours_retry_after = false;    // callers observe RefuseCall::retry_after_us
+  TimeUs max_retry_after_us = 0;       // longest retry-after that callers observe
+  bool marks_redials = false;          // CallOffered::is_redial is set
+  bool provides_route_advice = false;  // CallOffered::via may name an advised tandem
+  bool reports_wait_time = false;      // AttemptEnded::wait_us is set
 };
 
 // State of an exchange in the directory. New set-ups are sent to ready exchanges only.
@@ -120,10 +120,10 @@
   ExchangeId exchange = 0;
   int zone = 0;
   int kind = 0;
-  int number = 0;  // of the exchange, or of its pool with Topology::kGroups
+  int number = 0;  // of the exchange, or of its pool with Topology::kPools
   ExchangeStatus status = ExchangeStatus::kReady;
-  double rating = 1.0;  // capacity relative to other exchanges
-  TimeUs since_us = 0;  // time of the latest start; 0: long ago
+  double capacity_rating = 1.0;  // capacity relative to other exchanges
+  TimeUs started_at_us = 0;      // time of the latest start; 0: long ago
 };
 
 // ---- events ----
@@ -155,7 +155,7 @@
   int via = -1;                     // in transit: number of the sending exchange; else of the advised tandem; -1: none
   bool is_redial = false;           // marked as a redial, see Settings::marks_redials
   bool in_transit = false;          // this exchange is the tandem: the call is sent to its destination or refused
-  bool previously_cut = false;      // it was established before, was disconnected by a failure, and is offered again
+  bool was_disconnected = false;    // it was established before, was disconnected by a failure, and is offered again
 };
 
 // Result of an attempt. After kRejected, kConnectFailed and kNotSent it is certain that the exchange did not execute
--- a/src/call_controller.cpp
+++ b/src/call_controller.cpp
@@ -266,7 +266,7 @@
 
   // Returns the share of its capacity that an exchange can handle after a restart: it grows linearly from the
   // guaranteed share at the start to 1 at the end of the longest warm-up.
-  double WarmUpShare(const Exchange& e) const { return WarmUpShareSince(std::max(e.entry.since_us, e.failed_at)); }
+  double WarmUpShare(const Exchange& e) const { return WarmUpShareSince(std::max(e.entry.started_at_us, e.failed_at)); }
   double WarmUpShareSince(TimeUs start) const {
     if (start == 0 || settings_.warm_up_us == 0 || now_ >= start + settings_.warm_up_us) return 1.0;
     const double elapsed_share = now_ > start ? AsDouble(now_ - start) / AsDouble(settings_.warm_up_us) : 0.0;
@@ -379,7 +379,7 @@
   }
 
   bool IsPermitted(const Call& call, const Exchange& e) const {
-    if (settings_.topology != Topology::kGroups) return true;
+    if (settings_.topology != Topology::kPools) return true;
     const auto& pools = ClassOf(call).pools;
     return pools.empty() || std::find(pools.begin(), pools.end(), e.entry.number) != pools.end();
   }
@@ -767,7 +767,7 @@
     }
     for (const DirectoryEntry& entry : update.entries) {
       Exchange& e = exchanges_[entry.exchange];
-      if (entry.since_us > e.entry.since_us) {
+      if (entry.started_at_us > e.entry.started_at_us) {
         // After a restart, observations of the former process do not apply.
         e.load_reduction.Set(now_, 0.0);
         e.warm_up_tokens = random_.Uniform();  // so that the first set-ups of many softswitches do not coincide
@@ -785,7 +785,7 @@
     }
     // Select the current exchange for each number; a replacement machine takes over the number.
     const auto rank = [](const Exchange& x) {
-      return std::make_pair(x.entry.status == ExchangeStatus::kReady, x.entry.since_us);
+      return std::make_pair(x.entry.status == ExchangeStatus::kReady, x.entry.started_at_us);
     };
     for (auto& [id, e] : exchanges_) {
       Exchange*& best = exchanges_by_number_[e.entry.number];
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -33,7 +33,7 @@
 constexpr std::size_t kMaxFileOctets = 64U << 20U;
 
 // Prints the mistakes. Returns true if there are none.
-bool CheckNoMistakes(const std::vector<config::Mistake>& mistakes, const std::string& file) {
+bool CheckNoMistakes(const std::vector<config::SettingsError>& mistakes, const std::string& file) {
   if (mistakes.empty()) return true;
   std::cerr << file << ":\n" << config::ToString(mistakes);
   return false;
@@ -274,7 +274,7 @@
 }  // namespace
 
 int RunDay(const LabRun& options) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   const std::string text = config::ReadFile(options.scenario, kMaxFileOctets, &mistakes);
   lab::Scenario scenario;
   if (mistakes.empty()) scenario = lab::ParseScenario(text, &mistakes);
@@ -396,7 +396,7 @@
 }
 
 int ReportDay(const std::string& folder, const std::string& out) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   const std::string text = config::ReadFile(folder + "/scenario.json", kMaxFileOctets, &mistakes);
   lab::Scenario scenario;
   if (mistakes.empty()) scenario = lab::ParseScenario(text, &mistakes);
@@ -430,14 +430,14 @@
     std::printf("%-34s %-20s %7s %7s %8s %8s  %s\n", "day (on virtual time)", "decider", "service", "reach", "refused",
                 "tries", "rules broken; where the rest went");
   for (const std::string& path : options.scenarios) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
     lab::Scenario scenario;
     if (mistakes.empty()) scenario = lab::ParseScenario(text, &mistakes);
     if (!CheckNoMistakes(mistakes, path)) return kBadInput;
     for (int i = 0; i < options.seeds; ++i, ++scenario.seed) {
       for (const std::string& name : names) {
-        lab::VirtualDay day(scenario, lab::DeciderNamed(name));
+        lab::VirtualDay day(scenario, lab::FindDeciderFactory(name));
         lab::DayAccounts accounts(scenario);
         day.also = [&](const lab::TraceRecord& record) { accounts.Take(record); };
         day.Play();
@@ -495,7 +495,7 @@
 }
 
 int CheckConfig(const std::string& path, bool json) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
   if (mistakes.empty()) edge::ParseEdgeSettings(text, &mistakes);
   if (json) {
@@ -511,7 +511,7 @@
 }
 
 int ShowConfig(const std::string& path) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
   edge::EdgeSettings settings;
   if (mistakes.empty()) settings = edge::ParseEdgeSettings(text, &mistakes);
@@ -521,7 +521,7 @@
 }
 
 int ConvertDayFile(const std::string& path, const std::string& out, int max_exchanges, double max_calls_per_s) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
   std::vector<std::string> left_out, notes;
   std::string scenario;
--- a/src/cli/flow.cpp
+++ b/src/cli/flow.cpp
@@ -50,7 +50,7 @@
 
 // Calls `on_record` for each record of a file. Returns false, after printing the error, if the file is at fault.
 bool ReadFlowFile(const std::string& file, const flow::Decoder::OnRecord& on_record) {
-  std::vector<config::Mistake> unread;
+  std::vector<config::SettingsError> unread;
   const std::string content = config::ReadFile(file, kMaxFileBytes, &unread);
   if (!unread.empty()) {
     std::cerr << "croftrun: " << config::ToString(unread);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -100,7 +100,7 @@
   load_command->add_flag("--json", load.json, "Print the figures as JSON");
   load_command->callback([&] { code = RunLoad(load); });
 
-  SoakRun soak;
+  SoakOptions soak;
   soak.edge_program = default_edge_program;
   soak.folder = "lab-out/soak";
   CLI::App* soak_command = lab->add_subcommand(
@@ -120,7 +120,7 @@
       ->check(CLI::Range(0, 63))
       ->capture_default_str();
   soak_command
-      ->add_option("--most-mb", soak.most_megabytes,
+      ->add_option("--most-mb", soak.max_megabytes,
                    "Memory limit of a softswitch in megabytes; sanitized builds need more")
       ->check(CLI::Range(1, 4096))
       ->capture_default_str();
@@ -128,7 +128,7 @@
   soak_command->add_option("--without", soak.without, "Exclude this fault kind; may be repeated");
   soak_command->add_flag("--shrink", soak.shrink,
                          "Reduce the script of a failed trial to the faults that still make it fail");
-  soak_command->add_flag("--script", soak.show_script, "Print the fault script of every trial");
+  soak_command->add_flag("--script", soak.show_schedule, "Print the fault script of every trial");
   soak_command->add_flag("--json", soak.json, "Print the results as JSON");
   soak_command->add_flag("--quiet", soak.quiet, "Print only the summary");
   soak_command->callback([&] { code = RunSoak(soak); });
--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -27,14 +27,14 @@
 // Compiles the rule file, followed by `more`, with the names of classes, customers and places from the settings.
 // Returns false after printing the errors if a file cannot be read or the settings are not valid.
 bool LoadRules(const RulesRun& options, const std::string& more, bool explain, LoadedRules* loaded) {
-  std::vector<config::Mistake> read_errors;
+  std::vector<config::SettingsError> read_errors;
   const std::string settings_text = config::ReadFile(options.settings, kMaxSettingsOctets, &read_errors);
   const std::string text = config::ReadFile(options.file, expr::Limits().most_octets, &read_errors);
   edge::EdgeSettings settings;
-  std::vector<config::Mistake> errors;
+  std::vector<config::SettingsError> errors;
   if (read_errors.empty()) settings = edge::ParseEdgeSettings(settings_text, &errors);
   // Errors in the rules that the settings themselves contain are ignored.
-  std::erase_if(errors, [](const config::Mistake& m) { return m.path.starts_with("/rules"); });
+  std::erase_if(errors, [](const config::SettingsError& m) { return m.path.starts_with("/rules"); });
   errors.insert(errors.end(), read_errors.begin(), read_errors.end());
   if (!errors.empty()) {
     std::cerr << "croftrun: " << config::ToString(errors);
--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -33,7 +33,7 @@
 
 bool Failed(const TrialRun& run) { return !run.result || !run.result->verdict.violations.empty(); }
 
-std::optional<GeneratorOptions> ParseFaultKinds(const SoakRun& options) {
+std::optional<GeneratorOptions> ParseFaultKinds(const SoakOptions& options) {
   GeneratorOptions generator_options;
   const auto add = [](const std::vector<std::string>& names, std::vector<FaultKind>* kinds) {
     for (const std::string& name : names) {
@@ -53,14 +53,14 @@
   return generator_options;
 }
 
-TrialRun RunScheduledTrial(const Schedule& schedule, const SoakRun& options, int slot) {
+TrialRun RunScheduledTrial(const Schedule& schedule, const SoakOptions& options, int slot) {
   TrialRun run;
   run.schedule = schedule;
   try {
     run.result = RunTrial(schedule, {.program = options.edge_program,
                                      .folder = options.folder + "/seed-" + std::to_string(schedule.seed),
                                      .slot = slot,
-                                     .max_megabytes = options.most_megabytes});
+                                     .max_megabytes = options.max_megabytes});
   } catch (const std::exception& error) {
     run.error = error.what();
   }
@@ -104,7 +104,7 @@
 }
 
 // Removes faults from a schedule as long as one of the violated checks still fails.
-Schedule ShrinkSchedule(const TrialRun& failed, const SoakRun& options, int slot) {
+Schedule ShrinkSchedule(const TrialRun& failed, const SoakOptions& options, int slot) {
   Schedule schedule = failed.schedule;
   std::set<Check> checks;
   for (const Violation& violation : failed.result->verdict.violations) checks.insert(violation.check);
@@ -210,7 +210,7 @@
 
 }  // namespace
 
-int RunSoak(const SoakRun& options) {
+int RunSoak(const SoakOptions& options) {
   const auto generator_options = ParseFaultKinds(options);
   if (!generator_options) return kUsage;
   std::vector<TrialRun> trials(static_cast<std::size_t>(options.count));
@@ -225,7 +225,7 @@
       const std::lock_guard<std::mutex> lock(output);
       if (options.quiet || options.json) continue;
       std::printf("%s\n", FormatTrialLine(run).c_str());
-      if (options.show_script || Failed(run)) {
+      if (options.show_schedule || Failed(run)) {
         for (const Fault& fault : schedule.faults) std::printf("  %s\n", lab::soak::ToString(fault).c_str());
       }
       if (Failed(run)) PrintViolations(run);
--- a/src/config/json_settings.cpp
+++ b/src/config/json_settings.cpp
@@ -10,14 +10,15 @@
 
 namespace croftrun::config {
 
-std::string ToString(const std::vector<Mistake>& mistakes) {
+std::string ToString(const std::vector<SettingsError>& mistakes) {
   std::string text;
-  for (const Mistake& mistake : mistakes)
+  for (const SettingsError& mistake : mistakes)
     text += (mistake.path.empty() ? std::string("/") : mistake.path) + ": " + mistake.text + "\n";
   return text;
 }
 
-nlohmann::json ParseAgainst(std::string_view text, std::string_view schema_text, std::vector<Mistake>* mistakes) {
+nlohmann::json ParseWithSchema(std::string_view text, std::string_view schema_text,
+                               std::vector<SettingsError>* mistakes) {
   nlohmann::json value;
   try {
     value = nlohmann::json::parse(text);
@@ -51,7 +52,7 @@
   return value;
 }
 
-std::string ReadFile(const std::string& path, std::size_t max_bytes, std::vector<Mistake>* mistakes) {
+std::string ReadFile(const std::string& path, std::size_t max_bytes, std::vector<SettingsError>* mistakes) {
   std::ifstream file(path, std::ios::binary);
   if (!file) {
     mistakes->push_back({"", "cannot read " + path});
--- a/src/config/json_settings.h
+++ b/src/config/json_settings.h
@@ -11,18 +11,18 @@
 namespace croftrun::config {
 
 // An error in a settings file. `path` is its location, such as /groups/0/circuits; empty for the file as a whole.
-struct Mistake {
+struct SettingsError {
   std::string path;
   std::string text;
 };
-std::string ToString(const std::vector<Mistake>& mistakes);
+std::string ToString(const std::vector<SettingsError>& mistakes);
 
 // Parses `text` and validates it against `schema` (the text of a JSON Schema, draft 7). Appends the errors found; the
 // returned value may only be used if there are none.
-nlohmann::json ParseAgainst(std::string_view text, std::string_view schema, std::vector<Mistake>* mistakes);
+nlohmann::json ParseWithSchema(std::string_view text, std::string_view schema, std::vector<SettingsError>* mistakes);
 
 // Reads a text file. Appends an error if it cannot be read or is longer than `max_bytes`.
-std::string ReadFile(const std::string& path, std::size_t max_bytes, std::vector<Mistake>* mistakes);
+std::string ReadFile(const std::string& path, std::size_t max_bytes, std::vector<SettingsError>* mistakes);
 
 // Reads a key of a validated object into `*out`; leaves `*out` unchanged if the key is absent.
 template <typename T>
--- a/src/core/call_core.cpp
+++ b/src/core/call_core.cpp
@@ -123,7 +123,7 @@
   if (settings_.network_manages_circuits) return {};
   const CircuitGroup* group = Group(number);
   if (group == nullptr) return {0.0F, 0.0F};
-  return {static_cast<float>(group->Count(CircuitState::kIdle)), static_cast<float>(group->InUse())};
+  return {static_cast<float>(group->Count(CircuitState::kIdle)), static_cast<float>(group->UsableCircuits())};
 }
 
 void CallCore::ReportFreeCircuits(int number) {
@@ -359,7 +359,7 @@
   offered.via = call.owner == nullptr ? call.origin : call.request.advised_tandem;
   offered.is_redial = call.request.is_redial;
   offered.in_transit = call.owner == nullptr || call.request.in_transit;
-  offered.previously_cut = call.request.previously_cut;
+  offered.was_disconnected = call.request.was_disconnected;
   PostEvent(offered);
 }
 
@@ -678,7 +678,7 @@
   ReportFreeCircuits(number);
 }
 
-void CallCore::OnProbed(int number, bool answered, TimeUs elapsed_us, const LoadReport& load) {
+void CallCore::OnGroupProbed(int number, bool answered, TimeUs elapsed_us, const LoadReport& load) {
   if (const auto found = exchanges_by_number_.find(number);
       found != exchanges_by_number_.end() && !found->second.empty()) {
     LoadReportReceived received{found->second.front(), answered ? Outcome::kOk : Outcome::kTimeout,
--- a/src/core/call_core.h
+++ b/src/core/call_core.h
@@ -82,9 +82,9 @@
   std::uint64_t key = 0;    // set by the rules: used in place of the called number; 0: use the number
   std::uint32_t rules = 0;  // version of the rules that classified the call; 0: none
   // Where the network manages the circuits, set-ups in transit are offered by the front as well.
-  bool in_transit = false;      // may only go to its destination; `advised_tandem` is the exchange it comes from
-  bool previously_cut = false;  // the call was established, was disconnected and is offered again
-  std::string session = {};     // the caller's media description, passed on with each set-up
+  bool in_transit = false;        // may only go to its destination; `advised_tandem` is the exchange it comes from
+  bool was_disconnected = false;  // the call was established, was disconnected and is offered again
+  std::string session = {};       // the caller's media description, passed on with each set-up
 };
 
 enum class FinalKind : std::uint8_t { kEstablished, kRefused, kFailed };
@@ -130,10 +130,10 @@
 struct TrunkSetUp {
   CircuitSet set;
   int attempt = 0;
-  ExchangeId to = 0;                   // distinguishes the exchange from earlier ones with the same number
-  const CallRequest* offer = nullptr;  // valid during the call
-  int origin = -1;                     // number of the exchange where the call originated
-  TimeUs budget_us = 0;                // time until this attempt is abandoned
+  ExchangeId to = 0;                     // distinguishes the exchange from earlier ones with the same number
+  const CallRequest* request = nullptr;  // valid during the call
+  int origin = -1;                       // number of the exchange where the call originated
+  TimeUs budget_us = 0;                  // time until this attempt is abandoned
 };
 
 // Carries out set-ups, releases and probes on the trunks. Implemented by the trunk gateway and by the platform.
@@ -178,17 +178,17 @@
   bool tandem = false;
   Outcome outcome = Outcome::kOk;
   RejectCause cause = RejectCause::kNone;
-  TimeUs sent_at = 0, stood_at = 0, ended_at = 0;  // stood_at is 0 if the call was not established
-  std::size_t circuits = 0;                        // circuits held; 0: none could be seized and no set-up was sent
+  TimeUs sent_at = 0, established_at = 0, ended_at = 0;  // established_at is 0 if the call was not established
+  std::size_t circuits = 0;  // circuits held; 0: none could be seized and no set-up was sent
 };
 struct CallRecord {
   CallId call = 0;
-  const CallRequest* offer = nullptr;
+  const CallRequest* request = nullptr;
   bool in_transit = false;
   int origin = -1;
   int attempts = 0;
   std::optional<FinalAnswer> answer;  // empty: the caller hung up first
-  TimeUs taken_at = 0, answered_at = 0, ended_at = 0;
+  TimeUs accepted_at = 0, answered_at = 0, ended_at = 0;
   int group_in = -1;  // incoming trunk group of a call in transit; -1: none
 };
 // Receives a record of every attempt and every call.
@@ -213,7 +213,7 @@
   TimeUs answer_margin_us = 20'000;  // the final answer is sent this long before the caller's time-out
   OverloadSettings overload;
   std::uint64_t seed = 1;
-  MakeDecider decider = {};               // empty: the call controller
+  DeciderFactory decider = {};            // empty: the call controller
   std::size_t max_session_octets = 1024;  // longer media descriptions are truncated
   // The network manages the circuits: the core seizes none, OnGroupReport provides the free circuits, calls in transit
   // are offered by the front, and no call terminates at this exchange.
@@ -296,7 +296,7 @@
   void OnCircuitOutOfService(int group, CircuitNumber circuit);
   void OnCircuitInService(int group, CircuitNumber circuit);
   // Result of a ProbeGroup.
-  void OnProbed(int group, bool answered, TimeUs elapsed_us, const LoadReport& load);
+  void OnGroupProbed(int group, bool answered, TimeUs elapsed_us, const LoadReport& load);
 
   // ---- roster ----
   // Applies an update of the exchange directory and forwards it to the module.
@@ -312,9 +312,9 @@
 
   std::size_t open_calls() const { return calls_.size(); }
   // Returns whether this process is overloaded and refuses a share of new calls at once.
-  bool Overloaded() const { return overload_gate_.share() > 0.0; }
+  bool IsOverloaded() const { return overload_gate_.share() > 0.0; }
   // The share of new calls that is refused for overload, 0 to 1.
-  double ShareRefused() const { return overload_gate_.share(); }
+  double RefusedShare() const { return overload_gate_.share(); }
   const CoreCounters& counters() const { return counters_; }
   // Returns the trunk group to the exchange with this number, or null.
   const CircuitGroup* Group(int number) const;
--- a/src/core/circuits.h
+++ b/src/core/circuits.h
@@ -45,7 +45,9 @@
   std::size_t size() const { return circuits_.size(); }
   std::size_t Count(CircuitState state) const { return counts_[static_cast<std::size_t>(state)]; }
   // Circuits that are neither out of service nor suspected; reported to the module as the total.
-  std::size_t InUse() const { return size() - Count(CircuitState::kOutOfService) - Count(CircuitState::kSuspect); }
+  std::size_t UsableCircuits() const {
+    return size() - Count(CircuitState::kOutOfService) - Count(CircuitState::kSuspect);
+  }
   CircuitState State(CircuitNumber circuit) const { return circuits_[circuit].state; }
   Holder HeldBy(CircuitNumber circuit) const { return circuits_[circuit].holder; }
 
--- a/src/core/decider.h
+++ b/src/core/decider.h
@@ -23,8 +23,8 @@
 };
 
 // Creates a decider; appends the actions required at the start to the vector.
-using MakeDecider = std::function<std::unique_ptr<Decider>(const Settings&, std::uint64_t seed, TimeUs now,
-                                                           std::vector<Action>* actions)>;
+using DeciderFactory = std::function<std::unique_ptr<Decider>(const Settings&, std::uint64_t seed, TimeUs now,
+                                                              std::vector<Action>* actions)>;
 
 // Adapter for the module.
 class ModuleDecider final : public Decider {
--- a/src/core/format.cpp
+++ b/src/core/format.cpp
@@ -5,7 +5,7 @@
 
 namespace croftrun::core {
 
-void Print(std::string* out, const char* format, ...) {
+void AppendFormat(std::string* out, const char* format, ...) {
   va_list values, values_copy;
   va_start(values, format);
   va_copy(values_copy, values);
--- a/src/core/format.h
+++ b/src/core/format.h
@@ -7,7 +7,7 @@
 namespace croftrun::core {
 
 // Appends text in printf format to `*out`, whatever its length.
-void Print(std::string* out, const char* format, ...) __attribute__((format(printf, 2, 3)));
+void AppendFormat(std::string* out, const char* format, ...) __attribute__((format(printf, 2, 3)));
 
 }  // namespace croftrun::core
 
--- a/src/core/number_plan.cpp
+++ b/src/core/number_plan.cpp
@@ -3,7 +3,7 @@
 namespace croftrun::core {
 
 bool NumberPlan::Add(std::string_view prefix, const NumberMeaning& meaning) {
-  if (prefix.size() > kMostDigits || prefix.find_first_not_of("0123456789") != std::string_view::npos) return false;
+  if (prefix.size() > kMaxDigits || prefix.find_first_not_of("0123456789") != std::string_view::npos) return false;
   std::size_t at = 0;
   for (const char c : prefix) {
     const auto digit = static_cast<std::size_t>(c - '0');
@@ -20,7 +20,7 @@
 }
 
 std::optional<NumberMeaning> NumberPlan::Find(std::string_view digits) const {
-  if (digits.empty() || digits.size() > kMostDigits) return std::nullopt;
+  if (digits.empty() || digits.size() > kMaxDigits) return std::nullopt;
   std::int32_t best = nodes_[0].meaning;
   std::size_t at = 0;
   for (const char c : digits) {
--- a/src/core/number_plan.h
+++ b/src/core/number_plan.h
@@ -11,7 +11,7 @@
 
 namespace croftrun::core {
 
-inline constexpr std::size_t kMostDigits = 32;
+inline constexpr std::size_t kMaxDigits = 32;
 
 // Destination and treatment of a dialled number.
 struct NumberMeaning {
@@ -20,11 +20,11 @@
   int customer = 0;
 };
 
-// A trie of digits in one flat array. A look-up reads at most kMostDigits nodes and allocates no memory.
+// A trie of digits in one flat array. A look-up reads at most kMaxDigits nodes and allocates no memory.
 class NumberPlan {
  public:
   NumberPlan() : nodes_(1) {}
-  // Adds a prefix. Returns false if it contains anything but digits, is longer than kMostDigits or exists already.
+  // Adds a prefix. Returns false if it contains anything but digits, is longer than kMaxDigits or exists already.
   bool Add(std::string_view prefix, const NumberMeaning& meaning);
   // Returns the entry of the longest matching prefix; empty if no prefix matches or a character is not a digit.
   std::optional<NumberMeaning> Find(std::string_view digits) const;
--- a/src/core/roster.cpp
+++ b/src/core/roster.cpp
@@ -21,14 +21,14 @@
       Known known{entry.incarnation, 0};
       // A start before the origin of this clock is reported as long ago (0). Clamping it to the origin would make a
       // recently started edge treat every exchange that was ever replaced as warming up.
-      if (entry.incarnation > 0) known.since_us = now > entry.age_us ? now - entry.age_us : 0;
+      if (entry.incarnation > 0) known.started_at_us = now > entry.age_us ? now - entry.age_us : 0;
       known_[entry.exchange] = known;
     }
     directory->entries.push_back({.exchange = entry.exchange,
                                   .zone = entry.zone,
                                   .number = entry.number,
                                   .status = entry.status,
-                                  .since_us = known_[entry.exchange].since_us});
+                                  .started_at_us = known_[entry.exchange].started_at_us});
   }
   version_ = update.version;
   // Entries that a full list no longer contains are removed once there are too many.
--- a/src/core/roster.h
+++ b/src/core/roster.h
@@ -46,7 +46,7 @@
  private:
   struct Known {
     std::uint32_t incarnation = 0;
-    TimeUs since_us = 0;
+    TimeUs started_at_us = 0;
   };
   std::uint64_t version_ = 0;
   std::map<ExchangeId, Known> known_;
--- a/src/core/runtime.h
+++ b/src/core/runtime.h
@@ -149,7 +149,7 @@
     if (id_ != kNoTimer) runtime_->CancelTimer(id_);
     id_ = kNoTimer;
   }
-  bool Running() const { return id_ != kNoTimer; }
+  bool IsRunning() const { return id_ != kNoTimer; }
 
  private:
   Runtime* runtime_;
--- a/src/edge/api_front.cpp
+++ b/src/edge/api_front.cpp
@@ -46,7 +46,7 @@
       const core::CircuitGroup* circuits = core_->Group(group.number);
       list.push_back({{"exchange", group.number},
                       {"circuits", circuits->size()},
-                      {"in_service", circuits->InUse()},
+                      {"in_service", circuits->UsableCircuits()},
                       {"idle", circuits->Count(core::CircuitState::kIdle)}});
     }
     return list;
--- a/src/edge/classifier.cpp
+++ b/src/edge/classifier.cpp
@@ -29,7 +29,7 @@
   // Fill sets the values in the same order.
   schema.attributes = {{"class", Type::kEnum, "class", 0, false},
                        {"customer", Type::kEnum, "customer", 0, false},
-                       {"called", Type::kString, "", core::kMostDigits, false},
+                       {"called", Type::kString, "", core::kMaxDigits, false},
                        {"calling", Type::kString, "", kMaxCallingLength, false},
                        {"destination", Type::kInt, "", 0, false},
                        {"width", Type::kInt, "", 0, false},
@@ -69,7 +69,7 @@
   input->clear();
   input->push_back(number(call_request.call_class));
   input->push_back(number(call_request.customer));
-  input->push_back(text(call_request.called, core::kMostDigits));
+  input->push_back(text(call_request.called, core::kMaxDigits));
   input->push_back(text(call_request.calling, kMaxCallingLength));
   input->push_back(number(call_request.destination));
   input->push_back(number(static_cast<std::int64_t>(call_request.width)));
--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -25,7 +25,7 @@
 // Converts settings that conform to the schema, and checks what a schema cannot express.
 class SettingsReader {
  public:
-  explicit SettingsReader(std::vector<config::Mistake>* mistakes) : mistakes_(mistakes) {}
+  explicit SettingsReader(std::vector<config::SettingsError>* mistakes) : mistakes_(mistakes) {}
 
   EdgeSettings Read(const json& file) {
     EdgeSettings s;
@@ -180,9 +180,9 @@
       return AddMistake("/rules_file", "expected either rules or rules_file, found both");
     if (file.contains("rules_file")) {
       const auto name = file.at("rules_file").get<std::string>();
-      std::vector<config::Mistake> read_errors;
+      std::vector<config::SettingsError> read_errors;
       text = config::ReadFile(name, expr::Limits().most_octets, &read_errors);
-      for (const config::Mistake& mistake : read_errors) AddMistake("/rules_file", name + ": " + mistake.text);
+      for (const config::SettingsError& mistake : read_errors) AddMistake("/rules_file", name + ": " + mistake.text);
       if (!read_errors.empty()) return;
       path = "/rules_file " + name + ":";
     } else if (!file.contains("rules")) {
@@ -213,9 +213,9 @@
     Value(a, "commands_per_s", &api.session_manager.session.commands.per_s);
     Value(a, "burst", &api.session_manager.session.commands.burst);
     if (!api.token_keys_file.empty()) {
-      std::vector<config::Mistake> mistakes;
+      std::vector<config::SettingsError> mistakes;
       api.session_manager.token_keys = ReadTokenKeys(api.token_keys_file, &mistakes);
-      for (const config::Mistake& mistake : mistakes)
+      for (const config::SettingsError& mistake : mistakes)
         AddMistake("/api/token_keys_file", mistake.path + ": " + mistake.text);
     }
     s->api = std::move(api);
@@ -375,7 +375,7 @@
     Value(entry, "most_history", &t->most_history);
   }
 
-  std::vector<config::Mistake>* mistakes_;
+  std::vector<config::SettingsError>* mistakes_;
   std::map<std::string, int> classes_, customers_;
 };
 
@@ -387,7 +387,7 @@
   return names;
 }
 
-std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::Mistake>* mistakes) {
+std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::SettingsError>* mistakes) {
   constexpr std::size_t kMaxKeyFileOctets = 64U << 10U, kMinKeyOctets = 16, kMaxKeys = 16;
   std::vector<std::string> keys;
   std::istringstream text(config::ReadFile(file, kMaxKeyFileOctets, mistakes));
@@ -408,8 +408,8 @@
 
 std::string_view EdgeSchema() { return kEdgeSchema; }
 
-EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::Mistake>* mistakes) {
-  const json file = config::ParseAgainst(text, EdgeSchema(), mistakes);
+EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::SettingsError>* mistakes) {
+  const json file = config::ParseWithSchema(text, EdgeSchema(), mistakes);
   if (!mistakes->empty()) return {};
   return SettingsReader(mistakes).Read(file);
 }
--- a/src/edge/edge_settings.h
+++ b/src/edge/edge_settings.h
@@ -53,7 +53,7 @@
   ws::SessionManagerSettings session_manager;  // includes the keys read from token_keys_file
 };
 // Reads token keys, one per line, each of at least 16 octets. Appends errors with their line to `mistakes`.
-std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::Mistake>* mistakes);
+std::vector<std::string> ReadTokenKeys(const std::string& file, std::vector<config::SettingsError>* mistakes);
 
 // All settings of one edge.
 struct EdgeSettings {
@@ -83,7 +83,7 @@
 // Returns the text of the JSON schema.
 std::string_view EdgeSchema();
 // Parses settings. Appends every error found to `mistakes`, with its path; the result is valid only if there are none.
-EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::Mistake>* mistakes);
+EdgeSettings ParseEdgeSettings(std::string_view text, std::vector<config::SettingsError>* mistakes);
 // Returns the settings in force as JSON, including defaults.
 nlohmann::json ShowEdgeSettings(const EdgeSettings& settings);
 
--- a/src/edge/line_front.cpp
+++ b/src/edge/line_front.cpp
@@ -50,8 +50,8 @@
   rule_state_.emplace(classifier_->rules(), rule_seed_);
 }
 
-Classifier::Result LineFront::PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us,
-                                                  int line, core::CallRequest* call_request) {
+Classifier::Result LineFront::PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us, int line,
+                                          core::CallRequest* call_request) {
   call_request->call_class = meaning.call_class;
   if (call_request->customer < 0 || line > 0) call_request->customer = meaning.customer;
   call_request->destination = meaning.destination;
@@ -72,21 +72,19 @@
   }
   if (result.rule != nullptr) apply_class();  // width and caller timeout depend on the class
   if (result.outcome.budget_us)
-    call_request->caller_timeout_us =
-        std::min(call_request->caller_timeout_us,
-                 static_cast<TimeUs>(std::max<std::int64_t>(1, *result.outcome.budget_us)));
+    call_request->caller_timeout_us = std::min(
+        call_request->caller_timeout_us, static_cast<TimeUs>(std::max<std::int64_t>(1, *result.outcome.budget_us)));
   return result;
 }
 
 Classifier::Result LineFront::ApplyRules(core::CallRequest* call_request, int line) {
   call_request->rules = rules_version_;
-  const CallFacts facts{line, settings_.gateway.host, core_->ShareRefused()};
+  const CallFacts facts{line, settings_.gateway.host, core_->RefusedShare()};
   const expr::Moment moment{runtime_->Now(), classifier_->rules().calendar.empty() ? 0 : runtime_->WallClockUs()};
   const Classifier::Result result = classifier_->Apply(call_request, facts, moment, &*rule_state_);
   if (result.rule != nullptr && log_->IsEnabled(core::LogLevel::kDebug)) {
-    std::string detail =
-        call_request->calling + ": rule " +
-        (result.rule->name.empty() ? std::to_string(result.rule->line) : result.rule->name);
+    std::string detail = call_request->calling + ": rule " +
+                         (result.rule->name.empty() ? std::to_string(result.rule->line) : result.rule->name);
     for (std::size_t i = 0; i < result.outcome.tag_count; ++i)
       detail += (i == 0 ? ", tags " : " ") + *result.outcome.tags[i];
     log_->Write(core::LogLevel::kDebug, "classified", 0, detail + ", rules " + std::to_string(rules_version_));
@@ -198,7 +196,7 @@
   if (!has_digits) AcknowledgeNotification();
   std::string digits;
   for (const mgcp::EventRef& event : *events) {
-    if (mgcp::EqualsIgnoringCase(event.package, "D") && event.name.size() == 1 && digits.size() < core::kMostDigits) {
+    if (mgcp::EqualsIgnoringCase(event.package, "D") && event.name.size() == 1 && digits.size() < core::kMaxDigits) {
       digits += event.name;
     } else if (mgcp::EqualsIgnoringCase(event.name, "hu")) {
       digits.clear();
@@ -282,7 +280,7 @@
     // The call was refused before it was accepted. This applies to the call being dialled only: other calls may get
     // their final answers while it is processed.
     if (line_number == dialling_line_) {
-      const bool respond_only = core_->Overloaded() || admission_front_->admission() != nullptr;
+      const bool respond_only = core_->IsOverloaded() || admission_front_->admission() != nullptr;
       if (refused && pending_notification_ && respond_only) return RefuseInResponse(line, answer.retry_after_us);
       AcknowledgeNotification();  // a tone is sent only after the notification has been acknowledged
     }
@@ -327,8 +325,7 @@
   SendCommand(line_number, Verb::kRqnt, std::move(body), [this, line_number](const Answered& answered) {
     // 402: the line is on hook already; its notification may have been overtaken or lost.
     Line& current = lines_[static_cast<std::size_t>(line_number)];
-    if (answered.code() == mgcp::kAlreadyOnHook && current.state == State::kTone)
-      HandleOnHook(line_number, current);
+    if (answered.code() == mgcp::kAlreadyOnHook && current.state == State::kTone) HandleOnHook(line_number, current);
   });
 }
 
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -34,7 +34,7 @@
 // The settings that a reload replaces.
 struct ReloadedSettings {
   std::shared_ptr<const croftrun::edge::Classifier> classifier;
-  std::vector<croftrun::config::Mistake> mistakes;
+  std::vector<croftrun::config::SettingsError> mistakes;
   // Weights and limits of customers for admission control; empty if there is none.
   std::vector<croftrun::admission::CustomerSettings> customers;
   // Keys of the API; empty if there are none.
@@ -106,7 +106,7 @@
 
 int Run(const std::string& path, const std::string& metrics_path) {
   using namespace croftrun;
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   const std::string text = config::ReadFile(path, kMaxSettingsOctets, &mistakes);
   edge::EdgeSettings settings;
   if (mistakes.empty()) settings = edge::ParseEdgeSettings(text, &mistakes);
--- a/src/edge/platform_main.cpp
+++ b/src/edge/platform_main.cpp
@@ -24,7 +24,7 @@
   return value == nullptr ? std::string() : value;
 }
 
-platform::NodeConfig ReadConfig(const std::string& path, std::vector<config::Mistake>* mistakes) {
+platform::NodeConfig ReadConfig(const std::string& path, std::vector<config::SettingsError>* mistakes) {
   const std::string text = config::ReadFile(path, kMaxConfigOctets, mistakes);
   if (!mistakes->empty()) return {};
   return platform::ParseNodeConfig(text, Environment("GW_NAME"), Environment("GW_LISTEN"), mistakes);
@@ -51,7 +51,7 @@
   }
 
   int Run() {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     const platform::NodeConfig config = ReadConfig(path_, &mistakes);
     if (!mistakes.empty()) {
       std::cerr << "croftrun-edge: " << path_ << ":\n" << config::ToString(mistakes);
@@ -74,7 +74,7 @@
   // one is due in the same turn of the event loop.
   void Reload(int retries_left) {
     reload_retry_timer_.Stop();
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     const platform::NodeConfig config = ReadConfig(path_, &mistakes);
     if (mistakes.empty()) return node_->Reconfigure(config);
     log_->Write(core::LogLevel::kError, "configuration-kept", 0, config::ToString(mistakes));
--- a/src/edge/trunk_gateway.cpp
+++ b/src/edge/trunk_gateway.cpp
@@ -108,7 +108,7 @@
   // One datagram seizes all circuits of a call. The seizure that carries the address comes last, so that the gateway
   // can reject the whole call if any of the other circuits is in use.
   const mgcp::Transactions::Cork cork(transactions_);
-  const core::CallRequest& call_request = *set_up.offer;
+  const core::CallRequest& call_request = *set_up.request;
   std::string others;
   for (std::size_t i = 1; i < set_up.set.circuits.size(); ++i)
     others += (others.empty() ? "" : ",") + std::to_string(set_up.set.circuits[i]);
@@ -609,8 +609,8 @@
   const std::string endpoint = std::string(wire_names::kFar) + std::to_string(group) + "@" + settings_.domain;
   transactions_->Send(settings_.gateway,
                       {Verb::kAuep, endpoint, "F: ES\r\n", [this, group, sent](const Answered& response) {
-                         core_->OnProbed(group, response.ok(), runtime_->Now() - sent,
-                                         response.ok() ? ParseLoadReport(*response.message) : core::LoadReport{});
+                         core_->OnGroupProbed(group, response.ok(), runtime_->Now() - sent,
+                                              response.ok() ? ParseLoadReport(*response.message) : core::LoadReport{});
                        }});
 }
 
--- a/src/flow/recorder.cpp
+++ b/src/flow/recorder.cpp
@@ -36,7 +36,7 @@
   flow.cause = static_cast<std::uint8_t>(record.cause);
   flow.width = static_cast<std::uint8_t>(std::min<std::size_t>(record.circuits, 255));
   flow.attempts = static_cast<std::uint8_t>(std::min(record.attempt, 255));
-  if (record.stood_at > 0) flow.set_up_delay_us = ClampToUint32(record.stood_at - record.sent_at);
+  if (record.established_at > 0) flow.set_up_delay_us = ClampToUint32(record.established_at - record.sent_at);
   if (record.outcome != Outcome::kOk) flow.end_reason = EndReason::kForced;
   SetTimes(record.sent_at, record.ended_at, &flow);
   const auto found = tracked_calls_.find(record.call);
@@ -50,7 +50,7 @@
 }
 
 void Recorder::FillCallFields(const core::CallRecord& record, FlowRecord* flow) {
-  const core::CallRequest& request = *record.offer;
+  const core::CallRequest& request = *record.request;
   flow->call = record.call;
   flow->origin = record.origin;
   flow->destination = request.destination;
@@ -86,7 +86,7 @@
     flow.answer = static_cast<std::uint8_t>(1 + static_cast<int>(record.answer->kind));
     flow.cause = static_cast<std::uint8_t>(record.answer->cause);
     if (record.answer->kind == core::FinalKind::kEstablished)
-      flow.set_up_delay_us = ClampToUint32(record.answered_at - record.taken_at);
+      flow.set_up_delay_us = ClampToUint32(record.answered_at - record.accepted_at);
     if (record.answer->kind == core::FinalKind::kRefused) flow.end_reason = EndReason::kResources;
     if (record.answer->kind == core::FinalKind::kFailed) flow.end_reason = EndReason::kForced;
   }
@@ -94,7 +94,7 @@
     flow.attempted_exchanges = tracked->second.attempted_exchanges;
     tracked_calls_.erase(tracked);
   }
-  SetTimes(record.taken_at, record.ended_at, &flow);
+  SetTimes(record.accepted_at, record.ended_at, &flow);
   ring_->Push(flow);
 }
 
--- a/src/flow/shift.cpp
+++ b/src/flow/shift.cpp
@@ -10,7 +10,7 @@
 namespace croftrun::flow {
 namespace {
 
-using core::Print;
+using core::AppendFormat;
 
 // Layout of the chart, in SVG user units.
 constexpr int kLeft = 90, kRight = 20, kWidth = 760, kTop = 66, kPanelHeight = 74, kGap = 16, kBottom = 40;
@@ -84,32 +84,33 @@
   const int height = kTop + static_cast<int>(groups.size()) * (kPanelHeight + kGap) + kBottom;
   const double step = static_cast<double>(kWidth) / static_cast<double>(bins);
   std::string out;
-  Print(
+  AppendFormat(
       &out,
       "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" font-size=\"11\">\n",
       kLeft + kWidth + kRight, height);
-  Print(&out, "<rect width=\"%d\" height=\"%d\" fill=\"#ffffff\"/>\n", kLeft + kWidth + kRight, height);
+  AppendFormat(&out, "<rect width=\"%d\" height=\"%d\" fill=\"#ffffff\"/>\n", kLeft + kWidth + kRight, height);
   out += "<text x=\"10\" y=\"20\" font-size=\"14\" font-weight=\"bold\">" + EscapeText(chart.title) + "</text>\n";
   constexpr std::array<std::pair<const char*, const char*>, 3> kParts = {
       {{"#2b6cb0", "stood"}, {"#dd8a1f", "stood by way of a tandem"}, {"#b0b4ba", "did not stand"}}};
   int legend_x = 10;
   for (const auto& [colour, name] : kParts) {
-    Print(&out, "<rect x=\"%d\" y=\"32\" width=\"10\" height=\"10\" fill=\"%s\"/><text x=\"%d\" y=\"41\">%s</text>\n",
-          legend_x, colour, legend_x + 14, name);
+    AppendFormat(&out,
+                 "<rect x=\"%d\" y=\"32\" width=\"10\" height=\"10\" fill=\"%s\"/><text x=\"%d\" y=\"41\">%s</text>\n",
+                 legend_x, colour, legend_x + 14, name);
     legend_x += 190;
   }
   int top = kTop;
   for (const Group& group : groups) {
     const int base = top + kPanelHeight;
-    Print(&out, "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%llu to %llu</text>\n", kLeft - 26,
-          top + kPanelHeight / 2 + 4, static_cast<unsigned long long>(group.exchange),
-          static_cast<unsigned long long>(group.group));
-    Print(&out,
-          "<text x=\"%d\" y=\"%d\" text-anchor=\"end\" fill=\"#666\">%llu</text><text x=\"%d\" y=\"%d\" "
-          "text-anchor=\"end\" fill=\"#666\">0</text>\n",
-          kLeft - 4, top + 9, static_cast<unsigned long long>(max_sent), kLeft - 4, base);
-    Print(&out, "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"#f6f7f9\"/>\n", kLeft, top, kWidth,
-          kPanelHeight);
+    AppendFormat(&out, "<text x=\"%d\" y=\"%d\" text-anchor=\"end\">%llu to %llu</text>\n", kLeft - 26,
+                 top + kPanelHeight / 2 + 4, static_cast<unsigned long long>(group.exchange),
+                 static_cast<unsigned long long>(group.group));
+    AppendFormat(&out,
+                 "<text x=\"%d\" y=\"%d\" text-anchor=\"end\" fill=\"#666\">%llu</text><text x=\"%d\" y=\"%d\" "
+                 "text-anchor=\"end\" fill=\"#666\">0</text>\n",
+                 kLeft - 4, top + 9, static_cast<unsigned long long>(max_sent), kLeft - 4, base);
+    AppendFormat(&out, "<rect x=\"%d\" y=\"%d\" width=\"%d\" height=\"%d\" fill=\"#f6f7f9\"/>\n", kLeft, top, kWidth,
+                 kPanelHeight);
     for (std::size_t i = 0; i < group.bins.size(); ++i) {
       const Sums& sums = group.bins[i];
       const std::array<std::uint64_t, 3> parts = {sums.direct, sums.via_tandem, sums.not_established};
@@ -118,8 +119,9 @@
         if (parts[part] == 0) continue;
         const double bar_height = static_cast<double>(parts[part]) * kPanelHeight / static_cast<double>(max_sent);
         y -= bar_height;
-        Print(&out, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>\n",
-              kLeft + static_cast<double>(i) * step, y, std::max(0.5, step - 0.5), bar_height, kParts[part].first);
+        AppendFormat(&out, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>\n",
+                     kLeft + static_cast<double>(i) * step, y, std::max(0.5, step - 0.5), bar_height,
+                     kParts[part].first);
       }
     }
     top = base + kGap;
@@ -130,19 +132,21 @@
     if (when < first) continue;
     const double x = kLeft + static_cast<double>(when - first) / span_ms * kWidth;
     if (x > kLeft + kWidth) continue;
-    Print(&out, "<line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"#c53030\" stroke-dasharray=\"4 3\"/>\n", x,
-          kTop - 6, x, top - kGap);
-    Print(&out, "<text x=\"%.1f\" y=\"%d\" fill=\"#c53030\">", x + 3, kTop - 8);
+    AppendFormat(&out,
+                 "<line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"#c53030\" stroke-dasharray=\"4 3\"/>\n", x,
+                 kTop - 6, x, top - kGap);
+    AppendFormat(&out, "<text x=\"%.1f\" y=\"%d\" fill=\"#c53030\">", x + 3, kTop - 8);
     out += EscapeText(what) + "</text>\n";
   }
   // Axis labels at multiples of 1, 2 or 5 times a power of ten, ten at most.
   double tick_s = 0.001;
   for (int i = 0; span_ms / 1000.0 / tick_s > 10.0; ++i) tick_s *= i % 3 == 1 ? 2.5 : 2.0;
   for (double at_s = 0.0; at_s * 1000.0 <= span_ms; at_s += tick_s)
-    Print(&out, "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\" fill=\"#666\">%.4g</text>\n",
-          kLeft + at_s * 1000.0 / span_ms * kWidth, top - kGap + 14, at_s);
-  Print(&out, "<text x=\"%d\" y=\"%d\" fill=\"#666\">seconds; attempts in %.3g s, by exchange and group</text>\n",
-        kLeft, top - kGap + 30, static_cast<double>(chart.bin_ms) / 1000.0);
+    AppendFormat(&out, "<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\" fill=\"#666\">%.4g</text>\n",
+                 kLeft + at_s * 1000.0 / span_ms * kWidth, top - kGap + 14, at_s);
+  AppendFormat(&out,
+               "<text x=\"%d\" y=\"%d\" fill=\"#666\">seconds; attempts in %.3g s, by exchange and group</text>\n",
+               kLeft, top - kGap + 30, static_cast<double>(chart.bin_ms) / 1000.0);
   out += "</svg>\n";
   return out;
 }
--- a/src/lab/baselines.cpp
+++ b/src/lab/baselines.cpp
@@ -122,7 +122,7 @@
 };
 
 template <typename T>
-core::MakeDecider MakeFactory() {
+core::DeciderFactory MakeFactory() {
   return [](const Settings& settings, std::uint64_t seed, TimeUs,
             std::vector<Action>*) -> std::unique_ptr<core::Decider> { return std::make_unique<T>(settings, seed); };
 }
@@ -134,7 +134,7 @@
   return kNames;
 }
 
-core::MakeDecider DeciderNamed(std::string_view name) {
+core::DeciderFactory FindDeciderFactory(std::string_view name) {
   if (name == "module") return {};
   if (name == "direct-only") return MakeFactory<DirectOnly>();
   if (name == "direct-then-random") return MakeFactory<DirectThenRandom>();
--- a/src/lab/baselines.h
+++ b/src/lab/baselines.h
@@ -15,7 +15,7 @@
 const std::vector<std::string>& DeciderNames();
 // Returns the factory for a decider, which is empty for the module. Throws std::invalid_argument for a name that is not
 // in DeciderNames.
-core::MakeDecider DeciderNamed(std::string_view name);
+core::DeciderFactory FindDeciderFactory(std::string_view name);
 
 }  // namespace croftrun::lab
 
--- a/src/lab/day_file.cpp
+++ b/src/lab/day_file.cpp
@@ -447,7 +447,7 @@
 }
 
 std::string ConvertDay(std::string_view day_json, const ConvertOptions& options, std::vector<std::string>* left_out,
-                       std::vector<std::string>* notes, std::vector<config::Mistake>* mistakes) {
+                       std::vector<std::string>* notes, std::vector<config::SettingsError>* mistakes) {
   const json day = json::parse(day_json, nullptr, false);
   if (!day.is_object()) {
     mistakes->push_back({"", "expected a day file as a JSON object"});
--- a/src/lab/day_file.h
+++ b/src/lab/day_file.h
@@ -58,7 +58,7 @@
 // Converts a day file to a scenario for one machine. Returns an empty string if mistakes were found. Adds features
 // without a counterpart in scenarios to `*left_out`, and a summary of the reduction to `*notes`.
 std::string ConvertDay(std::string_view day_json, const ConvertOptions& options, std::vector<std::string>* left_out,
-                       std::vector<std::string>* notes, std::vector<config::Mistake>* mistakes);
+                       std::vector<std::string>* notes, std::vector<config::SettingsError>* mistakes);
 
 // Reads the network of a day file. Throws nlohmann::json::exception if the JSON is not a day file.
 DayNetwork ReadNetwork(const nlohmann::json& day);
--- a/src/lab/day_picture.cpp
+++ b/src/lab/day_picture.cpp
@@ -8,7 +8,7 @@
 namespace croftrun::lab {
 namespace {
 
-using core::Print;
+using core::AppendFormat;
 
 // Geometry of a chart in SVG user units.
 constexpr double kLeftMargin = 70, kPlotWidth = 820, kPlotHeight = 150, kTopMargin = 20;
@@ -38,25 +38,25 @@
   }
   const auto x = [&](double s) { return kLeftMargin + kPlotWidth * std::min(1.0, s / std::max(1e-9, seconds)); };
   const auto y = [&](double value) { return kTopMargin + kPlotHeight * (1.0 - value / max_value); };
-  Print(out, "<h3>%s</h3>\n<svg viewBox=\"0 0 920 %.0f\" width=\"920\" role=\"img\">\n", EscapeHtml(title).c_str(),
-        kTopMargin + kPlotHeight + 40);
+  AppendFormat(out, "<h3>%s</h3>\n<svg viewBox=\"0 0 920 %.0f\" width=\"920\" role=\"img\">\n",
+               EscapeHtml(title).c_str(), kTopMargin + kPlotHeight + 40);
   std::size_t row = 0;
   for (const DayAccounts::Band& band : bands) {
-    Print(out, "<rect x=\"%.1f\" y=\"%.0f\" width=\"%.1f\" height=\"%.0f\" fill=\"#f4d9a8\" opacity=\"0.5\"/>",
-          x(band.from_s), kTopMargin, std::max(1.0, x(band.to_s) - x(band.from_s)), kPlotHeight);
-    Print(out, "<text x=\"%.1f\" y=\"%.0f\" font-size=\"10\" fill=\"#8a5a00\">%s</text>\n", x(band.from_s) + 2,
-          kTopMargin + 10 + 11 * static_cast<double>(row++ % 4), EscapeHtml(band.what).c_str());
+    AppendFormat(out, "<rect x=\"%.1f\" y=\"%.0f\" width=\"%.1f\" height=\"%.0f\" fill=\"#f4d9a8\" opacity=\"0.5\"/>",
+                 x(band.from_s), kTopMargin, std::max(1.0, x(band.to_s) - x(band.from_s)), kPlotHeight);
+    AppendFormat(out, "<text x=\"%.1f\" y=\"%.0f\" font-size=\"10\" fill=\"#8a5a00\">%s</text>\n", x(band.from_s) + 2,
+                 kTopMargin + 10 + 11 * static_cast<double>(row++ % 4), EscapeHtml(band.what).c_str());
   }
-  Print(out, "<path d=\"M%.0f %.0fV%.0fH%.0f\" fill=\"none\" stroke=\"#444\"/>", kLeftMargin, kTopMargin,
-        kTopMargin + kPlotHeight, kLeftMargin + kPlotWidth);
-  Print(out,
-        "<text x=\"%.0f\" y=\"%.0f\" font-size=\"11\" text-anchor=\"end\">%.4g</text><text x=\"%.0f\" "
-        "y=\"%.0f\" font-size=\"11\" text-anchor=\"end\">0</text>",
-        kLeftMargin - 4, kTopMargin + 8, max_value, kLeftMargin - 4, kTopMargin + kPlotHeight);
+  AppendFormat(out, "<path d=\"M%.0f %.0fV%.0fH%.0f\" fill=\"none\" stroke=\"#444\"/>", kLeftMargin, kTopMargin,
+               kTopMargin + kPlotHeight, kLeftMargin + kPlotWidth);
+  AppendFormat(out,
+               "<text x=\"%.0f\" y=\"%.0f\" font-size=\"11\" text-anchor=\"end\">%.4g</text><text x=\"%.0f\" "
+               "y=\"%.0f\" font-size=\"11\" text-anchor=\"end\">0</text>",
+               kLeftMargin - 4, kTopMargin + 8, max_value, kLeftMargin - 4, kTopMargin + kPlotHeight);
   for (int tick = 0; tick <= 6; ++tick) {
     const double s = seconds * tick / 6.0;
-    Print(out, "<text x=\"%.1f\" y=\"%.0f\" font-size=\"11\" text-anchor=\"middle\">%.0f s</text>", x(s),
-          kTopMargin + kPlotHeight + 14, s);
+    AppendFormat(out, "<text x=\"%.1f\" y=\"%.0f\" font-size=\"11\" text-anchor=\"middle\">%.0f s</text>", x(s),
+                 kTopMargin + kPlotHeight + 14, s);
   }
   const double bin = static_cast<double>(DayAccounts::kBin) / 1e6;
   for (std::size_t i = 0; i < lines.size(); ++i) {
@@ -68,13 +68,14 @@
         gap = true;
         continue;
       }
-      Print(&path, "%c%.1f %.1f", gap ? 'M' : 'L', x((static_cast<double>(b) + 0.5) * bin), y(lines[i].values[b]));
+      AppendFormat(&path, "%c%.1f %.1f", gap ? 'M' : 'L', x((static_cast<double>(b) + 0.5) * bin),
+                   y(lines[i].values[b]));
       gap = false;
     }
     *out += "<path d=\"" + path + "\" fill=\"none\" stroke=\"" + colour + "\" stroke-width=\"1.3\"/>\n";
-    Print(out, "<text x=\"%.0f\" y=\"%.0f\" font-size=\"11\" fill=\"%s\">%s</text>\n",
-          kLeftMargin + 68.0 * static_cast<double>(i), kTopMargin + kPlotHeight + 30, colour,
-          EscapeHtml(lines[i].name).c_str());
+    AppendFormat(out, "<text x=\"%.0f\" y=\"%.0f\" font-size=\"11\" fill=\"%s\">%s</text>\n",
+                 kLeftMargin + 68.0 * static_cast<double>(i), kTopMargin + kPlotHeight + 30, colour,
+                 EscapeHtml(lines[i].name).c_str());
   }
   *out += "</svg>\n";
 }
@@ -88,8 +89,8 @@
                     "10px;text-align:right}th:first-child,td:first-child{text-align:left}pre{background:#"
                     "f5f5f5;padding:1em}</style>\n";
   out += "<h1>" + EscapeHtml(scenario.name) + "</h1>\n";
-  Print(&out, "<p>%d exchanges, %d with a real edge, seed %llu, %.0f s.", scenario.exchanges, scenario.edges,
-        static_cast<unsigned long long>(scenario.seed), static_cast<double>(scenario.length_us) / 1e6);
+  AppendFormat(&out, "<p>%d exchanges, %d with a real edge, seed %llu, %.0f s.", scenario.exchanges, scenario.edges,
+               static_cast<unsigned long long>(scenario.seed), static_cast<double>(scenario.length_us) / 1e6);
   const auto& ledgers = accounts.ledger().accounts();
   double served = 0.0;
   for (std::size_t i = 0; i < ledgers.size(); ++i) {
@@ -97,8 +98,8 @@
     served += c.worth * (static_cast<double>(ledgers[i].in_time) + c.late_worth * static_cast<double>(ledgers[i].late));
   }
   if (bound.solved && bound.worth > 0.0)
-    Print(&out, " Worth served: %.0f of %.0f offered. Upper bound: %.0f, of which a share of %.3f was served.", served,
-          bound.offered, bound.worth, served / bound.worth);
+    AppendFormat(&out, " Worth served: %.0f of %.0f offered. Upper bound: %.0f, of which a share of %.3f was served.",
+                 served, bound.offered, bound.worth, served / bound.worth);
   out += "</p>\n<h2>Rules</h2>\n<pre>" + EscapeHtml(rules.Summary()) + "</pre>\n";
   out += "<h2>Outcome of the tries</h2>\n<table><tr><th>class</th><th>tries</th><th>in time</th><th>late</th>";
   const reach::Account total = accounts.ledger().Total();
--- a/src/lab/doors.cpp
+++ b/src/lab/doors.cpp
@@ -17,7 +17,7 @@
 namespace croftrun::lab {
 namespace {
 
-using core::Print;
+using core::AppendFormat;
 
 constexpr TimeUs kSecond = 1'000'000;
 constexpr std::size_t kMaxQueued = 1024;
@@ -297,28 +297,29 @@
     for (const auto& policy : curve.by_door) {
       for (const DoorFigures& f : policy) max_value = std::max(max_value, value(f));
     }
-    Print(&out, "<text x=\"%.0f\" y=\"18\" font-size=\"13\">%s</text>\n", left,
-          panel == 0 ? "Worth per second, without the flood's calls" : "Share of quiet clients' calls in time");
-    Print(&out, "<path d=\"M%.0f %.0fv%.0fh%.0f\" fill=\"none\" stroke=\"#444\"/>\n", left, kTop, kHeight, kWidth);
-    Print(&out,
-          "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"end\">%.3g</text><text x=\"%.0f\" y=\"%.0f\" "
-          "text-anchor=\"end\">0</text>\n",
-          left - 4, kTop + 8, max_value, left - 4, kTop + kHeight);
+    AppendFormat(&out, "<text x=\"%.0f\" y=\"18\" font-size=\"13\">%s</text>\n", left,
+                 panel == 0 ? "Worth per second, without the flood's calls" : "Share of quiet clients' calls in time");
+    AppendFormat(&out, "<path d=\"M%.0f %.0fv%.0fh%.0f\" fill=\"none\" stroke=\"#444\"/>\n", left, kTop, kHeight,
+                 kWidth);
+    AppendFormat(&out,
+                 "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"end\">%.3g</text><text x=\"%.0f\" y=\"%.0f\" "
+                 "text-anchor=\"end\">0</text>\n",
+                 left - 4, kTop + 8, max_value, left - 4, kTop + kHeight);
     for (const double flood : curve.floods)
-      Print(&out, "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n", left + kWidth * flood / max_flood,
-            kTop + kHeight + 14, flood);
+      AppendFormat(&out, "<text x=\"%.0f\" y=\"%.0f\" text-anchor=\"middle\">%.0f</text>\n",
+                   left + kWidth * flood / max_flood, kTop + kHeight + 14, flood);
     for (std::size_t p = 0; p < curve.by_door.size(); ++p) {
       std::string path;
       for (std::size_t i = 0; i < curve.floods.size(); ++i)
-        Print(&path, "%c%.1f %.1f", i == 0 ? 'M' : 'L', left + kWidth * curve.floods[i] / max_flood,
-              kTop + kHeight * (1.0 - value(curve.by_door[p][i]) / max_value));
-      Print(&out, "<path d=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"1.6\"/>\n", path.c_str(),
-            kColours[p % std::size(kColours)]);
+        AppendFormat(&path, "%c%.1f %.1f", i == 0 ? 'M' : 'L', left + kWidth * curve.floods[i] / max_flood,
+                     kTop + kHeight * (1.0 - value(curve.by_door[p][i]) / max_value));
+      AppendFormat(&out, "<path d=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"1.6\"/>\n", path.c_str(),
+                   kColours[p % std::size(kColours)]);
       if (!curve.by_door[p].empty())
-        Print(&out, "<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", left + 85.0 * static_cast<double>(p),
-              kTop + kHeight + 48, kColours[p % std::size(kColours)], curve.by_door[p][0].door.c_str());
+        AppendFormat(&out, "<text x=\"%.0f\" y=\"%.0f\" fill=\"%s\">%s</text>\n", left + 85.0 * static_cast<double>(p),
+                     kTop + kHeight + 48, kColours[p % std::size(kColours)], curve.by_door[p][0].door.c_str());
     }
-    Print(&out, "<text x=\"%.0f\" y=\"%.0f\">made-up identities per second</text>\n", left, kTop + kHeight + 30);
+    AppendFormat(&out, "<text x=\"%.0f\" y=\"%.0f\">made-up identities per second</text>\n", left, kTop + kHeight + 30);
   }
   return out + "</svg>\n";
 }
--- a/src/lab/platform_stand_ins.cpp
+++ b/src/lab/platform_stand_ins.cpp
@@ -19,7 +19,7 @@
 
 void PlatformConnection::Reset() {
   if (auto* const virtual_stream = dynamic_cast<sim::VirtualStream*>(stream.get()); virtual_stream != nullptr && open)
-    virtual_stream->Break();
+    virtual_stream->Reset();
 }
 
 PlatformExchange::PlatformExchange(core::Runtime* runtime, const core::Address& address)
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -119,8 +119,8 @@
 
 std::string_view ScenarioSchema() { return kScenarioSchema; }
 
-Scenario ParseScenario(std::string_view text, std::vector<config::Mistake>* mistakes) {
-  const json file = config::ParseAgainst(text, ScenarioSchema(), mistakes);
+Scenario ParseScenario(std::string_view text, std::vector<config::SettingsError>* mistakes) {
+  const json file = config::ParseWithSchema(text, ScenarioSchema(), mistakes);
   Scenario s;
   if (!mistakes->empty()) return s;
   Value(file, "name", &s.name);
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -92,7 +92,7 @@
 // The JSON schema of scenarios.
 std::string_view ScenarioSchema();
 // Parses a scenario; the result is valid only if no mistakes were added.
-Scenario ParseScenario(std::string_view text, std::vector<config::Mistake>* mistakes);
+Scenario ParseScenario(std::string_view text, std::vector<config::SettingsError>* mistakes);
 
 // Loopback addresses derived from the scenario's octet and the number of the exchange.
 core::Address EdgeAddress(const Scenario& scenario, int number);
--- a/src/lab/soak/client_stand_in.cpp
+++ b/src/lab/soak/client_stand_in.cpp
@@ -81,18 +81,18 @@
     runtime_->StartTimer(0, [this] { probe_.reset(); });
     done(passed);
   };
-  probe_ = std::make_unique<LineClient>(context_, host, softswitch_address_,
-                                        LineClientHandlers{.on_open = nullptr,
-                                                           .on_line =
-                                                               [finish](std::string_view line) {
-                                                                 const auto message = platform::ParseMessage(line);
-                                                                 if (message && message->type == MessageType::kTested)
-                                                                   return finish(true);
-                                                                 // The end of a call may be notified here too; it is
-                                                                 // ignored.
-                                                               },
-                                                           .on_end = [finish](ConnectionEnd) { finish(false); }});
-  probe_->Write(platform::WriteMessage({.type = MessageType::kTest, .id = NewId(), .cause = 0}));
+  probe_ = std::make_unique<LineClient>(
+      context_, host, softswitch_address_,
+      LineClientHandlers{.on_open = nullptr,
+                         .on_line =
+                             [finish](std::string_view line) {
+                               const auto message = platform::ParseMessage(line);
+                               if (message && message->type == MessageType::kHeartbeatResponse) return finish(true);
+                               // The end of a call may be notified here too; it is
+                               // ignored.
+                             },
+                         .on_end = [finish](ConnectionEnd) { finish(false); }});
+  probe_->Write(platform::WriteMessage({.type = MessageType::kHeartbeat, .id = NewId(), .cause = 0}));
   probe_timer_.Start(kProbeTimeout, [finish] { finish(false); });
 }
 
@@ -267,7 +267,7 @@
   LogEvent(EventKind::kReleaseReceived, connection->host, message.id, message.cause.value_or(-1),
            unacknowledged ? "not acknowledged" : "");
   // Like the platform's clients, acknowledges every release.
-  connection->client->Write(platform::WriteMessage({.type = MessageType::kHeard, .id = message.id}));
+  connection->client->Write(platform::WriteMessage({.type = MessageType::kAcknowledgement, .id = message.id}));
   if (const auto established = established_.find(message.id); established != established_.end()) {
     established_.erase(established);
     return;
--- a/src/lab/soak/client_stand_in.h
+++ b/src/lab/soak/client_stand_in.h
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "core/runtime.h"
+#include "lab/soak/event_log.h"
 #include "lab/soak/line_client.h"
-#include "lab/soak/traffic.h"
 #include "platform/line_codec.h"
 
 namespace croftrun::lab::soak {
--- a/src/lab/soak/cold_start_check.h
+++ b/src/lab/soak/cold_start_check.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/soak/traffic.h"
+#include "lab/soak/event_log.h"
 
 namespace croftrun::lab::soak {
 
--- a/src/lab/soak/discovery_stand_in.h
+++ b/src/lab/soak/discovery_stand_in.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "core/runtime.h"
-#include "lab/soak/traffic.h"
+#include "lab/soak/event_log.h"
 
 namespace croftrun::lab::soak {
 
--- a/src/lab/soak/traffic.cpp
+++ b/src/lab/soak/event_log.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/traffic.h"
+#include "lab/soak/event_log.h"
 
 #include <array>
 #include <cstdio>
--- a/src/lab/soak/traffic.h
+++ b/src/lab/soak/event_log.h
@@ -2,8 +2,8 @@
 //
 // It is the only input of the judge (soak/judge.h), which reads no log and no counter of the softswitch. An event names
 // the softswitch and the exchange that it concerns by their indexes, and the call by the id in its set-up.
-#ifndef CROFTRUN_LAB_SOAK_TRAFFIC_H_
-#define CROFTRUN_LAB_SOAK_TRAFFIC_H_
+#ifndef CROFTRUN_LAB_SOAK_EVENT_LOG_H_
+#define CROFTRUN_LAB_SOAK_EVENT_LOG_H_
 
 #include <cstdint>
 #include <string>
@@ -93,4 +93,4 @@
 
 }  // namespace croftrun::lab::soak
 
-#endif  // CROFTRUN_LAB_SOAK_TRAFFIC_H_
+#endif  // CROFTRUN_LAB_SOAK_EVENT_LOG_H_
--- a/src/lab/soak/exchange_stand_in.cpp
+++ b/src/lab/soak/exchange_stand_in.cpp
@@ -154,7 +154,7 @@
 void ExchangeStandIn::SendReport(Connection* connection) {
   const std::string load = "spare:" + std::to_string(traits_.circuits - used_circuits_[connection->softswitch]) +
                            ";total:" + std::to_string(traits_.circuits);
-  connection->Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", load}}});
+  connection->Send({.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", load}}});
 }
 
 void ExchangeStandIn::OnLine(Connection* connection, std::string_view line) {
@@ -164,9 +164,9 @@
     OnSetUp(connection, *message);
   } else if (message->type == MessageType::kRelease) {
     OnRelease(connection, message->id);
-  } else if (message->type == MessageType::kTest) {
+  } else if (message->type == MessageType::kHeartbeat) {
     LogEvent(EventKind::kProbeArrived, connection->softswitch, "");
-    connection->Send({.type = MessageType::kTested, .id = message->id, .cause = 1});
+    connection->Send({.type = MessageType::kHeartbeatResponse, .id = message->id, .cause = 1});
   }
 }
 
@@ -257,7 +257,7 @@
 }
 
 void ExchangeStandIn::OnRelease(Connection* connection, const std::string& id) {
-  connection->Send({.type = MessageType::kHeard, .id = id});
+  connection->Send({.type = MessageType::kAcknowledgement, .id = id});
   if (attempts_.erase(id) > 0) return LogEvent(EventKind::kAttemptAbandoned, connection->softswitch, id);
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
--- a/src/lab/soak/exchange_stand_in.h
+++ b/src/lab/soak/exchange_stand_in.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "core/runtime.h"
+#include "lab/soak/event_log.h"
 #include "lab/soak/fault_proxy.h"
-#include "lab/soak/traffic.h"
 #include "platform/line_codec.h"
 
 namespace croftrun::lab::soak {
--- a/src/lab/soak/judge.h
+++ b/src/lab/soak/judge.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "lab/soak/cold_start_check.h"
-#include "lab/soak/traffic.h"
+#include "lab/soak/event_log.h"
 
 namespace croftrun::lab::soak {
 
--- a/src/lab/soak/script.cpp
+++ b/src/lab/soak/schedule.cpp
@@ -1,4 +1,4 @@
-#include "lab/soak/script.h"
+#include "lab/soak/schedule.h"
 
 #include <algorithm>
 #include <array>
--- a/src/lab/soak/script.h
+++ b/src/lab/soak/schedule.h
@@ -1,7 +1,7 @@
 // The schedule of a soak trial, generated from a seed: the fleet, its settings, its traffic and the faults to inject.
 // The same seed always gives the same schedule.
-#ifndef CROFTRUN_LAB_SOAK_SCRIPT_H_
-#define CROFTRUN_LAB_SOAK_SCRIPT_H_
+#ifndef CROFTRUN_LAB_SOAK_SCHEDULE_H_
+#define CROFTRUN_LAB_SOAK_SCHEDULE_H_
 
 #include <cstdint>
 #include <optional>
@@ -14,7 +14,7 @@
 
 namespace croftrun::lab::soak {
 
-// Kinds of faults; their printed names are in script.cpp.
+// Kinds of faults; their printed names are in schedule.cpp.
 enum class FaultKind : std::uint8_t {
   kVanish,           // an exchange's host is lost: it is silent, new connections never open, its calls are over
   kVanishAndReturn,  // an exchange's host is lost for a while; then a new process, cold, is at its address
@@ -93,4 +93,4 @@
 
 }  // namespace croftrun::lab::soak
 
-#endif  // CROFTRUN_LAB_SOAK_SCRIPT_H_
+#endif  // CROFTRUN_LAB_SOAK_SCHEDULE_H_
--- a/src/lab/soak/trial.h
+++ b/src/lab/soak/trial.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
+#include "lab/soak/event_log.h"
 #include "lab/soak/judge.h"
-#include "lab/soak/script.h"
-#include "lab/soak/traffic.h"
+#include "lab/soak/schedule.h"
 
 namespace croftrun::lab::soak {
 
--- a/src/lab/virtual_day.h
+++ b/src/lab/virtual_day.h
@@ -32,10 +32,10 @@
 class InProcessEdges final : public EdgeHost {
  public:
   // `decider`: who decides in place of the module; null: the module.
-  InProcessEdges(core::Runtime* runtime, core::Logger* log, core::MakeDecider decider = {})
+  InProcessEdges(core::Runtime* runtime, core::Logger* log, core::DeciderFactory decider = {})
       : runtime_(runtime), log_(log), decider_(std::move(decider)) {}
   void Start(int number, const std::string& settings_json) override {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     auto settings = std::make_unique<edge::EdgeSettings>(edge::ParseEdgeSettings(settings_json, &mistakes));
     if (!mistakes.empty()) throw std::runtime_error(config::ToString(mistakes));
     settings->core.decider = decider_;
@@ -51,7 +51,7 @@
   }
   void Stall(int number, bool stands_still) override {
     if (const auto found = edges_.find(number); found != edges_.end() && found->second.node)
-      found->second.runtime->Stall(stands_still);
+      found->second.runtime->SetStalled(stands_still);
   }
   edge::EdgeNode& At(int number) { return *edges_.at(number).node; }
   bool Runs(int number) const {
@@ -67,14 +67,14 @@
   };
   core::Runtime* runtime_;
   core::Logger* log_;
-  core::MakeDecider decider_;
+  core::DeciderFactory decider_;
   std::map<int, Running> edges_;
 };
 
 // Plays a scenario to its end and holds what came of it.
 class VirtualDay {
  public:
-  explicit VirtualDay(Scenario of, core::MakeDecider decider = {})
+  explicit VirtualDay(Scenario of, core::DeciderFactory decider = {})
       : scenario(std::move(of)),
         runtime(scenario.seed),
         trace(&runtime),
--- a/src/platform/release_meaning.cpp
+++ b/src/platform/attempt_results.cpp
@@ -1,4 +1,4 @@
-#include "platform/release_meaning.h"
+#include "platform/attempt_results.h"
 
 #include "platform/causes.h"
 
--- a/src/platform/release_meaning.h
+++ b/src/platform/attempt_results.h
@@ -1,7 +1,7 @@
 // Maps the end of a set-up to the result that is reported to the decision module, either from the cause and note of a
 // release or from the end of the connection. The table is in docs/platform.md, "What an event means".
-#ifndef CROFTRUN_PLATFORM_RELEASE_MEANING_H_
-#define CROFTRUN_PLATFORM_RELEASE_MEANING_H_
+#ifndef CROFTRUN_PLATFORM_ATTEMPT_RESULTS_H_
+#define CROFTRUN_PLATFORM_ATTEMPT_RESULTS_H_
 
 #include <string>
 
@@ -25,4 +25,4 @@
 
 }  // namespace croftrun::platform
 
-#endif  // CROFTRUN_PLATFORM_RELEASE_MEANING_H_
+#endif  // CROFTRUN_PLATFORM_ATTEMPT_RESULTS_H_
--- a/src/platform/caller_connections.cpp
+++ b/src/platform/caller_connections.cpp
@@ -166,18 +166,18 @@
     case MessageType::kRelease:
       HandleRelease(connection, *message);
       return true;
-    case MessageType::kTest:
+    case MessageType::kHeartbeat:
       connection->RecordUse();
       ++counters_.tests;
-      Send(connection, {.type = MessageType::kTested, .id = message->id, .cause = 1});
+      Send(connection, {.type = MessageType::kHeartbeatResponse, .id = message->id, .cause = 1});
       return true;
-    case MessageType::kHeard:
+    case MessageType::kAcknowledgement:
       ++counters_.acknowledged;
       releases_.OnAcknowledged(connection->host, message->id);
       return true;
     case MessageType::kWait:
-    case MessageType::kTested:
-    case MessageType::kGauge:
+    case MessageType::kHeartbeatResponse:
+    case MessageType::kGroupReport:
       return true;
     case MessageType::kAnswer:
     case MessageType::kOther:
@@ -221,7 +221,7 @@
   request.caller_timeout_us = static_cast<TimeUs>(timeout_ms.value_or(0.0) * 1000.0);
   request.advised_tandem = extras->via;
   request.in_transit = extras->transit;
-  request.previously_cut = extras->again;
+  request.was_disconnected = extras->again;
   request.is_redial = message.Field("retry") != nullptr;
   if (is_announcement) {
     AdoptCall(connection, message, request, extras->at);
@@ -285,7 +285,7 @@
     core_->HangUp(call);
     if (!was_established) return;
   }
-  Send(connection, {.type = MessageType::kHeard, .id = message.id});
+  Send(connection, {.type = MessageType::kAcknowledgement, .id = message.id});
 }
 
 void CallerConnections::OnFinalAnswer(CallId call, const core::FinalAnswer& answer) {
--- a/src/platform/exchange_connections.cpp
+++ b/src/platform/exchange_connections.cpp
@@ -5,8 +5,8 @@
 #include <tuple>
 #include <utility>
 
+#include "platform/attempt_results.h"
 #include "platform/causes.h"
-#include "platform/release_meaning.h"
 
 namespace croftrun::platform {
 namespace {
@@ -44,7 +44,7 @@
   bool IsSuspected() const { return detector.suspected_since() != 0; }
   ExchangeId id = 0;
   Target target;
-  TimeUs since_us = 0;
+  TimeUs started_at_us = 0;
   bool is_retired = false;  // removed from the directory, or its address was taken over
   std::list<std::unique_ptr<Connection>> connections;
   std::unordered_set<std::string> established;  // ids of the established calls
@@ -193,8 +193,8 @@
           .kind = IndexOf(settings_.kinds, target.kind),
           .number = target.number,
           .status = target.status,
-          .rating = target.rating,
-          .since_us = exchange.since_us};
+          .capacity_rating = target.rating,
+          .started_at_us = exchange.started_at_us};
 }
 
 bool ExchangeConnections::IsSuperseded(ExchangeId before, const Target& target, TimeUs since) const {
@@ -204,7 +204,7 @@
   // Ids are assigned in the order in which exchanges become known. An exchange that comes back has a later start time
   // than its successor.
   const auto newer = exchanges_.find(occupant->second);
-  return newer != exchanges_.end() && !newer->second->is_retired && since <= newer->second->since_us;
+  return newer != exchanges_.end() && !newer->second->is_retired && since <= newer->second->started_at_us;
 }
 
 void ExchangeConnections::OnDirectoryNotification(const DirectoryNotification& notification) {
@@ -241,11 +241,11 @@
       gone.push_back(&e);
       continue;
     }
-    if (since > e.since_us && e.since_us != 0) restarted.push_back(&e);
+    if (since > e.started_at_us && e.started_at_us != 0) restarted.push_back(&e);
     const core::Address previous = e.target.address;
     e.target = target;
     if (target.status == ExchangeStatus::kGone && target.address == core::Address{}) e.target.address = previous;
-    e.since_us = since;
+    e.started_at_us = since;
     update.entries.push_back(MakeDirectoryEntry(e));
     if (target.status == ExchangeStatus::kGone) {
       gone.push_back(&e);
@@ -271,7 +271,7 @@
     }
   }
   core_->OnDirectory(update);
-  for (Exchange* const e : restarted) TerminateCallsBefore(e, e->since_us, "exchange restarted");
+  for (Exchange* const e : restarted) TerminateCallsBefore(e, e->started_at_us, "exchange restarted");
   for (Exchange* const e : gone) RetireExchange(e);
   for (auto& [id, e] : exchanges_) {
     if (!e->is_retired) EnsureConnected(e.get());
@@ -514,7 +514,7 @@
 }
 
 void ExchangeConnections::EnsureConnected(Exchange* exchange) {
-  if (exchange->is_retired || !exchange->connections.empty() || exchange->reconnect_timer.Running()) return;
+  if (exchange->is_retired || !exchange->connections.empty() || exchange->reconnect_timer.IsRunning()) return;
   const TimeUs delay = exchange->reconnect_delay;
   exchange->reconnect_delay = std::clamp(2 * delay, kMinReconnectDelay, kMaxReconnectDelay);
   if (delay == 0 && OpenConnection(exchange, Purpose::kKeepConnected) != nullptr) return;
@@ -566,15 +566,15 @@
   const CallId call = set_up.set.call;
   const auto found = exchanges_.find(set_up.to);
   Connection* const connection = found == exchanges_.end() ? nullptr : SelectConnection(found->second.get());
-  const std::string& id = set_up.offer->calling;
+  const std::string& id = set_up.request->calling;
   if (connection == nullptr || call_legs_.count(id) > 0) {
     ++counters_.never_ran;
     return core_->OnTrunkReleased(call, set_up.attempt,
                                   MakeReleaseInfo(kNotConnected, core::ReleaseCause::kOutOfOrder));
   }
-  Message message{.type = MessageType::kSetUp, .id = id, .description = set_up.offer->session};
-  message.fields.emplace_back("class", settings_.classes.at(static_cast<std::size_t>(set_up.offer->call_class)));
-  if (!set_up.offer->called.empty()) message.fields.emplace_back("key", set_up.offer->called);
+  Message message{.type = MessageType::kSetUp, .id = id, .description = set_up.request->session};
+  message.fields.emplace_back("class", settings_.classes.at(static_cast<std::size_t>(set_up.request->call_class)));
+  if (!set_up.request->called.empty()) message.fields.emplace_back("key", set_up.request->called);
   message.fields.emplace_back("left", std::to_string(set_up.budget_us / 1000));
   const std::string line = WriteMessage(message);
   if (line.empty()) {
@@ -652,7 +652,7 @@
   std::snprintf(digits, sizeof(digits), "%016llx", static_cast<unsigned long long>(runtime_->Random()));
   if (probes_.size() > 256) probes_.clear();
   probes_[digits] = {connection->exchange->id, runtime_->Now()};
-  connection->stream->Write(WriteMessage({.type = MessageType::kTest, .id = digits, .cause = 0}));
+  connection->stream->Write(WriteMessage({.type = MessageType::kHeartbeat, .id = digits, .cause = 0}));
 }
 
 void ExchangeConnections::AdoptCall(CallId call, const std::string& id, ExchangeId exchange_id) {
@@ -670,7 +670,7 @@
   ++exchange->announced;
   RecordEstablishedCall(exchange, id);
   if (NewestOpenConnection(*exchange) == nullptr) exchange->detector.OnUnconfirmedCallAnnounced(runtime_->Now());
-  if (!exchange->announced_check_timer.Running())
+  if (!exchange->announced_check_timer.IsRunning())
     exchange->announced_check_timer.Start(kAnnouncementWindow, [this, exchange] { CheckAnnouncedCalls(exchange); });
   EnsureConnected(exchange);
   if (!early_releases_.Contains(id)) return;
@@ -705,10 +705,10 @@
     case MessageType::kRelease:
       HandleRelease(connection, *message);
       return true;
-    case MessageType::kGauge:
+    case MessageType::kGroupReport:
       HandleGroupReport(connection, *message);
       return true;
-    case MessageType::kTested: {
+    case MessageType::kHeartbeatResponse: {
       const auto probe = probes_.find(message->id);
       if (probe == probes_.end()) return true;
       const auto [exchange, sent] = probe->second;
@@ -718,10 +718,10 @@
       return true;
     }
     case MessageType::kWait:
-    case MessageType::kHeard:
+    case MessageType::kAcknowledgement:
       return true;
     case MessageType::kSetUp:
-    case MessageType::kTest:
+    case MessageType::kHeartbeat:
     case MessageType::kOther:
       log_->Write(core::LogLevel::kWarning, "exchange-said", 0, line.substr(0, 200));
       return message->type != MessageType::kOther;
--- a/src/platform/line_codec.cpp
+++ b/src/platform/line_codec.cpp
@@ -15,10 +15,10 @@
                                                                           {"wait", MessageType::kWait},
                                                                           {"up", MessageType::kAnswer},
                                                                           {"down", MessageType::kRelease},
-                                                                          {"ack", MessageType::kHeard},
-                                                                          {"hb", MessageType::kTest},
-                                                                          {"hb_ok", MessageType::kTested},
-                                                                          {"gauge", MessageType::kGauge}}};
+                                                                          {"ack", MessageType::kAcknowledgement},
+                                                                          {"hb", MessageType::kHeartbeat},
+                                                                          {"hb_ok", MessageType::kHeartbeatResponse},
+                                                                          {"gauge", MessageType::kGroupReport}}};
 constexpr std::size_t kIdDigits = 16;
 constexpr std::size_t kMaxFields = 32;
 constexpr double kMaxNumber = 65535, kMaxWidth = 1024;
--- a/src/platform/line_codec.h
+++ b/src/platform/line_codec.h
@@ -22,15 +22,15 @@
 
 // Type of a message; the comments give its name on the wire.
 enum class MessageType : std::uint8_t {
-  kSetUp,    // new
-  kWait,     // wait: progress, ignored
-  kAnswer,   // up
-  kRelease,  // down: rejection, abandonment or end of an established call
-  kHeard,    // ack: acknowledges a release
-  kTest,     // hb: heartbeat
-  kTested,   // hb_ok: response to a heartbeat
-  kGauge,    // gauge: group report
-  kOther,    // a type that this side does not know
+  kSetUp,              // new
+  kWait,               // wait: progress, ignored
+  kAnswer,             // up
+  kRelease,            // down: rejection, abandonment or end of an established call
+  kAcknowledgement,    // ack: acknowledges a release
+  kHeartbeat,          // hb: heartbeat
+  kHeartbeatResponse,  // hb_ok: response to a heartbeat
+  kGroupReport,        // gauge: group report
+  kOther,              // a type that this side does not know
 };
 
 // One message of the protocol.
--- a/src/platform/node.cpp
+++ b/src/platform/node.cpp
@@ -38,7 +38,7 @@
   settings.answer_margin_us = 0;  // the module may use the caller's whole timeout
   settings.forgotten_call_timeout_us = config.answer_grace_us;
   settings.max_session_octets = kMaxLineOctets;
-  settings.max_calls = std::min<std::size_t>(config.module.max_held_calls, config.memory_mb * kCallsPerMegabyte);
+  settings.max_calls = std::min<std::size_t>(config.module.max_calls, config.memory_mb * kCallsPerMegabyte);
   return settings;
 }
 
--- a/src/platform/node_config.cpp
+++ b/src/platform/node_config.cpp
@@ -94,7 +94,7 @@
 
 class ConfigReader {
  public:
-  ConfigReader(const json& root, std::vector<config::Mistake>* mistakes) : root_(root), mistakes_(mistakes) {}
+  ConfigReader(const json& root, std::vector<config::SettingsError>* mistakes) : root_(root), mistakes_(mistakes) {}
   const json* At(const std::string& path) const {
     const json::json_pointer pointer(path);
     return root_.contains(pointer) ? &root_.at(pointer) : nullptr;
@@ -134,7 +134,7 @@
 
  private:
   const json& root_;
-  std::vector<config::Mistake>* mistakes_;
+  std::vector<config::SettingsError>* mistakes_;
 };
 
 }  // namespace
@@ -168,7 +168,7 @@
 }
 
 NodeConfig ParseNodeConfig(std::string_view text, const std::string& name, const std::string& listen,
-                           std::vector<config::Mistake>* mistakes) {
+                           std::vector<config::SettingsError>* mistakes) {
   NodeConfig config;
   const json root = json::parse(text, nullptr, false);
   if (!root.is_object()) {
@@ -198,7 +198,7 @@
   } else {
     try {
       config.module = wire::ParseSettings(FlattenSettings(*settings));
-    } catch (const wire::BadSetting& error) {
+    } catch (const wire::InvalidSetting& error) {
       mistakes->push_back({"/settings", error.what()});
     }
     config.zones = reader.ReadNames("/settings/localities");
--- a/src/platform/node_config.h
+++ b/src/platform/node_config.h
@@ -58,7 +58,7 @@
 // Parses the text of the configuration file and appends all errors in it. `name` and `listen` are used if the file does
 // not state them.
 NodeConfig ParseNodeConfig(std::string_view text, const std::string& name, const std::string& listen,
-                           std::vector<config::Mistake>* mistakes);
+                           std::vector<config::SettingsError>* mistakes);
 
 // Converts nested settings to lines of path=value, the form that wire/settings_parser.h reads.
 std::string FlattenSettings(const nlohmann::json& settings);
--- a/src/sim/memory_disk.h
+++ b/src/sim/memory_disk.h
@@ -25,7 +25,7 @@
   std::error_code Remove(const std::string& path) override;
 
   // Limits the total size of all files. An append that exceeds the limit is truncated and fails.
-  void SetRoom(std::size_t octets) { capacity_ = octets; }
+  void SetCapacity(std::size_t octets) { capacity_ = octets; }
   // Simulates a crash of the machine: of the unsynced octets of each file, `kept` per thousand survive.
   void Crash(unsigned kept);
   std::map<std::string, Content>& files() { return files_; }
--- a/src/sim/stallable_runtime.cpp
+++ b/src/sim/stallable_runtime.cpp
@@ -66,7 +66,7 @@
   return std::make_unique<Port>(this, local, handler);
 }
 
-void StallableRuntime::Stall(bool stalled) {
+void StallableRuntime::SetStalled(bool stalled) {
   stalled_ = stalled;
   const std::shared_ptr<bool> alive = alive_;
   while (*alive && !stalled_ && !held_.empty()) {
--- a/src/sim/stallable_runtime.h
+++ b/src/sim/stallable_runtime.h
@@ -19,7 +19,7 @@
   ~StallableRuntime() override;
 
   // Starts or ends a stall.
-  void Stall(bool stalled);
+  void SetStalled(bool stalled);
 
   TimeUs Now() const override { return wrapped_->Now(); }
   std::int64_t WallClockUs() const override { return wrapped_->WallClockUs(); }
--- a/src/sim/virtual_runtime.h
+++ b/src/sim/virtual_runtime.h
@@ -32,7 +32,7 @@
   void PauseReading(bool pause) override;
   core::Address Remote() const override { return remote_; }
   // Resets the connection: both sides get StreamEnd::kReset. Data already in transit still arrives.
-  void Break();
+  void Reset();
 
  private:
   friend class VirtualRuntime;
@@ -55,10 +55,10 @@
 
   std::int64_t WallClockUs() const override { return wall_clock_offset_us_ + static_cast<std::int64_t>(now_); }
   // Sets the wall clock time that corresponds to Now() == 0.
-  void SetWall(std::int64_t wall_clock_us) { wall_clock_offset_us_ = wall_clock_us; }
+  void SetWallClock(std::int64_t wall_clock_us) { wall_clock_offset_us_ = wall_clock_us; }
   TimeUs QueueDelay() const override { return queue_delay_us_; }
   // Sets the value returned by QueueDelay, as no real queue builds up in this runtime.
-  void SetBacklog(TimeUs queue_delay_us) { queue_delay_us_ = queue_delay_us; }
+  void SetQueueDelay(TimeUs queue_delay_us) { queue_delay_us_ = queue_delay_us; }
   TimeUs Now() const override { return now_; }
   core::TimerId StartTimer(TimeUs delay, std::function<void()> due) override;
   void CancelTimer(core::TimerId timer) override;
@@ -69,7 +69,9 @@
   // Sets the local host address of connections opened from now on.
   void SetHost(std::uint32_t host) { host_ = host; }
   // Makes connections to `to` time out while `silent`.
-  void SetSilent(const core::Address& to, bool silent) { silent ? void(silent_.insert(to)) : void(silent_.erase(to)); }
+  void SetUnreachable(const core::Address& to, bool unreachable) {
+    unreachable ? void(unreachable_.insert(to)) : void(unreachable_.erase(to));
+  }
 
   // Runs all timers up to the time `until` and advances the clock to it.
   void RunUntil(TimeUs until);
@@ -93,7 +95,7 @@
   core::TimerId next_timer_ = 1;
   std::map<core::Address, Port*> ports_;
   std::map<core::Address, Listener*> listeners_;
-  std::set<core::Address> silent_;
+  std::set<core::Address> unreachable_;
   std::uint32_t host_ = 0x7f000001;
   std::uint16_t next_port_ = 20000;
   std::mt19937_64 random_;
--- a/src/sim/virtual_streams.cpp
+++ b/src/sim/virtual_streams.cpp
@@ -66,7 +66,7 @@
   });
 }
 
-void VirtualStream::Break() {
+void VirtualStream::Reset() {
   broken_ = true;
   SendEnd(core::StreamEnd::kReset);
   runtime_->StartTimer(0, [own = own_] { own->Finish(core::StreamEnd::kReset); });
@@ -97,7 +97,7 @@
                                                       core::StreamHandler* handler) {
   auto stream = std::make_unique<VirtualStream>(this, to);
   stream->own_->handler = handler;
-  if (silent_.count(to) > 0) {
+  if (unreachable_.count(to) > 0) {
     StartTimer(timeout, [own = stream->own_] { own->Finish(core::StreamEnd::kTimedOut); });
     return stream;
   }
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -136,8 +136,8 @@
   const auto status = Read<std::uint8_t>();
   if (status > 2) ThrowMalformed(where, "unknown readiness " + std::to_string(status));
   entry.status = static_cast<ExchangeStatus>(status);
-  entry.rating = ReadFloat();
-  entry.since_us = Read<std::uint64_t>();
+  entry.capacity_rating = ReadFloat();
+  entry.started_at_us = Read<std::uint64_t>();
   return entry;
 }
 
@@ -236,7 +236,7 @@
         const auto flags = Read<std::uint8_t>();
         call.is_redial = (flags & kFlagRedial) != 0;
         call.in_transit = (flags & kFlagInTransit) != 0;
-        call.previously_cut = (flags & kFlagPreviouslyCut) != 0;
+        call.was_disconnected = (flags & kFlagPreviouslyCut) != 0;
         record->body = Event(call);
         return true;
       }
--- a/src/wire/settings_parser.cpp
+++ b/src/wire/settings_parser.cpp
@@ -14,7 +14,7 @@
 using Pairs = std::map<std::string, std::string, std::less<>>;
 
 [[noreturn]] void ThrowBadSetting(const std::string& key, std::string_view value) {
-  throw BadSetting("setting " + key + ": cannot read '" + std::string(value) + "'");
+  throw InvalidSetting("setting " + key + ": cannot read '" + std::string(value) + "'");
 }
 
 Pairs SplitLines(std::string_view text) {
@@ -127,7 +127,7 @@
 Settings ParseSettings(std::string_view text) {
   const Reader reader(text);
   Settings s;
-  reader.Choice<Topology>("family_info.shape", {{"meshed", Topology::kMeshed}, {"groups", Topology::kGroups}},
+  reader.Choice<Topology>("family_info.shape", {{"meshed", Topology::kMeshed}, {"groups", Topology::kPools}},
                           &s.topology);
   reader.Choice<DiscoveryMode>("discovery",
                                {{"automatic", DiscoveryMode::kAutomatic}, {"subscribe", DiscoveryMode::kSubscribe}},
@@ -138,7 +138,7 @@
   reader.Number("over_share_worth", &s.over_quota_worth);
   reader.Time("family_info.release_us", &s.resend_guard_us);
   reader.Time("family_info.repeat_us", &s.retransmit_interval_us);
-  reader.Bool("family_info.route_advice", &s.route_advice);
+  reader.Bool("family_info.route_advice", &s.provides_route_advice);
   reader.Bool("family_info.tells_wait", &s.reports_wait_time);
   reader.Time("contract.drain_grace_us", &s.drain_grace_us);
   reader.Number("contract.cold_from", &s.warm_up_start_share);
@@ -147,9 +147,9 @@
   reader.Time("contract.fall_us", &s.collapse_time_us);
   reader.Time("contract.ask_within_us", &s.keep_alive_us);
   reader.Int("allowed.most_tries", &s.max_attempts);
-  int max_held_calls = static_cast<int>(s.max_held_calls);
-  reader.Int("allowed.most_held", &max_held_calls);
-  s.max_held_calls = static_cast<std::uint32_t>(max_held_calls > 0 ? max_held_calls : 0);
+  int max_calls = static_cast<int>(s.max_calls);
+  reader.Int("allowed.most_held", &max_calls);
+  s.max_calls = static_cast<std::uint32_t>(max_calls > 0 ? max_calls : 0);
   reader.Bool("allowed.may_cancel", &s.may_cancel);
   reader.Bool("allowed.probes", &s.may_probe);
   reader.Bool("allowed.peers", &s.may_notify_peers);
--- a/src/wire/settings_parser.h
+++ b/src/wire/settings_parser.h
@@ -10,12 +10,13 @@
 namespace croftrun::wire {
 
 // A known key has a value that cannot be parsed; the message contains both.
-class BadSetting : public std::runtime_error {
+class InvalidSetting : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Parses the settings. Unknown keys are ignored; absent keys keep the neutral defaults of Settings. Throws BadSetting.
+// Parses the settings. Unknown keys are ignored; absent keys keep the neutral defaults of Settings. Throws
+// InvalidSetting.
 Settings ParseSettings(std::string_view text);
 
 }  // namespace croftrun::wire
--- a/tests/hard_case_fixture.h
+++ b/tests/call_path_fixture.h
@@ -1,6 +1,6 @@
 // Fixture with one edge on a virtual clock and a scripted gateway whose messages a test controls octet by octet.
-#ifndef CROFTRUN_TESTS_HARD_CASE_FIXTURE_H_
-#define CROFTRUN_TESTS_HARD_CASE_FIXTURE_H_
+#ifndef CROFTRUN_TESTS_CALL_PATH_FIXTURE_H_
+#define CROFTRUN_TESTS_CALL_PATH_FIXTURE_H_
 
 #include <gtest/gtest.h>
 
@@ -115,7 +115,7 @@
 class CallPath : public testing::Test {
  protected:
   explicit CallPath(int lines = 20, int circuits = 2) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     settings = edge::ParseEdgeSettings(R"({
       "exchange": {"number": 0}, "agent": {"listen": "127.0.0.1:2727", "answer_margin_ms": 20, "shutdown_limit_ms": 3000, "seed": 1},
       "gateway": {"address": "127.0.0.2:2427", "domain": "gw"},
@@ -177,4 +177,4 @@
 
 }  // namespace croftrun
 
-#endif  // CROFTRUN_TESTS_HARD_CASE_FIXTURE_H_
+#endif  // CROFTRUN_TESTS_CALL_PATH_FIXTURE_H_
--- a/tests/hard_cases_test.cpp
+++ b/tests/call_path_test.cpp
@@ -1,7 +1,7 @@
 // Edge cases of the whole call path, each caused by a scripted gateway on a virtual clock.
 #include <set>
 
-#include "hard_case_fixture.h"
+#include "call_path_fixture.h"
 
 namespace croftrun {
 namespace {
@@ -375,13 +375,13 @@
     runtime.RunFor(400 * kMs);
     return given;
   };
-  runtime.SetWall(1'767'225'600'000'000);  // midnight
+  runtime.SetWallClock(1'767'225'600'000'000);  // midnight
   EXPECT_LE(caller_timeout(1), 500);
-  runtime.SetWall(1'767'225'600'000'000 + 12 * 3'600'000'000LL);
+  runtime.SetWallClock(1'767'225'600'000'000 + 12 * 3'600'000'000LL);
   EXPECT_GT(caller_timeout(2), 500);
-  runtime.SetWall(-5'000'000'000'000'000);  // far in the past
+  runtime.SetWallClock(-5'000'000'000'000'000);  // far in the past
   caller_timeout(3);
-  runtime.SetWall(4'000'000'000'000'000'000);  // beyond the range of dates
+  runtime.SetWallClock(4'000'000'000'000'000'000);  // beyond the range of dates
   caller_timeout(4);
   EXPECT_EQ(node->core().counters().overdue, 0U);
 }
@@ -434,12 +434,12 @@
 }
 
 TEST_F(CallPath, OverloadRefusalIsSentInResponseToNotification) {
-  runtime.SetBacklog(500 * kMs);
+  runtime.SetQueueDelay(500 * kMs);
   for (int line = 1; line <= 18; ++line) {
     Dial(line);
     runtime.RunFor(60 * kMs);
   }
-  runtime.SetBacklog(0);
+  runtime.SetQueueDelay(0);
   std::size_t in_answer = 0;
   for (const auto& response : gateway.responses) {
     if (response.Get("X-Answer") != "refused") continue;
@@ -460,9 +460,9 @@
 }
 
 TEST_F(CallPath, CallerTimeoutStartsAtArrivalOfDigits) {
-  runtime.SetBacklog(2'000 * kMs);
+  runtime.SetQueueDelay(2'000 * kMs);
   Dial(1);
-  runtime.SetBacklog(0);
+  runtime.SetQueueDelay(0);
   ASSERT_EQ(SetUpCount(), 1U);
   EXPECT_LE(std::stoi(std::string(gateway.Last(mgcp::Verb::kCrcx, "ds/")->Get("X-Patience"))), 1000);
   runtime.RunFor(1'000 * kMs);
@@ -470,9 +470,9 @@
 }
 
 TEST_F(CallPath, RefusesDigitsProcessedAfterCallerTimeout) {
-  runtime.SetBacklog(4'000 * kMs);
+  runtime.SetQueueDelay(4'000 * kMs);
   Dial(1);
-  runtime.SetBacklog(0);
+  runtime.SetQueueDelay(0);
   EXPECT_EQ(SetUpCount(), 0U);
   EXPECT_EQ(gateway.responses.back().Get("X-Answer"), "refused");
   EXPECT_EQ(node->core().open_calls(), 0U);
@@ -486,10 +486,10 @@
   runtime.RunFor(100 * kMs);
   Dial(1, "110010007", 1000);
   ASSERT_EQ(SetUpCount(), 1U);
-  stallable.Stall(true);
+  stallable.SetStalled(true);
   gateway.Notify(LastSeized(), std::string(gateway.Last(mgcp::Verb::kCrcx, LastSeized())->Get("X")), "MS/ans");
   runtime.RunFor(1'500 * kMs);
-  stallable.Stall(false);
+  stallable.SetStalled(false);
   runtime.RunFor(100 * kMs);
   EXPECT_EQ(EstablishedCalls(1), 0U);
   EXPECT_EQ(node->core().counters().stands, 0U);
--- a/tests/circuit_doubt_test.cpp
+++ b/tests/circuit_state_mismatch_test.cpp
@@ -2,7 +2,7 @@
 // gateway, not only by time-outs.
 #include <rapidcheck.h>
 
-#include "hard_case_fixture.h"
+#include "call_path_fixture.h"
 
 namespace croftrun {
 namespace {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -65,8 +65,8 @@
   EXPECT_EQ(update.entries[0].zone, 1);
   EXPECT_EQ(update.entries[0].number, 3);
   EXPECT_EQ(update.entries[0].status, ExchangeStatus::kReady);
-  EXPECT_EQ(update.entries[0].rating, 1.0);
-  EXPECT_EQ(update.entries[0].since_us, 42U);
+  EXPECT_EQ(update.entries[0].capacity_rating, 1.0);
+  EXPECT_EQ(update.entries[0].started_at_us, 42U);
 }
 
 TEST(Codec, DecodesFailedListWithoutDirectory) {
@@ -93,7 +93,7 @@
   EXPECT_EQ(call.via, -1);
   EXPECT_TRUE(call.is_redial);
   EXPECT_TRUE(call.in_transit);
-  EXPECT_FALSE(call.previously_cut);
+  EXPECT_FALSE(call.was_disconnected);
 }
 
 TEST(Codec, DecodesEnded) {
--- a/tests/fixture.h
+++ b/tests/controller_fixture.h
@@ -1,7 +1,7 @@
 // Test fixture: a controller of exchange 0 in a mesh of the exchanges 0 to 3 (ids 100 to 103), all ready, with a test
 // clock and the actions of the latest event.
-#ifndef CROFTRUN_TESTS_FIXTURE_H_
-#define CROFTRUN_TESTS_FIXTURE_H_
+#ifndef CROFTRUN_TESTS_CONTROLLER_FIXTURE_H_
+#define CROFTRUN_TESTS_CONTROLLER_FIXTURE_H_
 
 #include <optional>
 #include <utility>
@@ -58,8 +58,11 @@
   }
   void SetStatus(int number, ExchangeStatus status, TimeUs started_at = 0) {
     DirectoryUpdate delta{.kind = DirectoryKind::kDelta};
-    delta.entries.push_back(
-        {.exchange = IdOf(number), .zone = number % 2, .number = number, .status = status, .since_us = started_at});
+    delta.entries.push_back({.exchange = IdOf(number),
+                             .zone = number % 2,
+                             .number = number,
+                             .status = status,
+                             .started_at_us = started_at});
     Handle(delta);
   }
   CallId OfferCall(int destination, double width = 1.0, int call_class = 0) {
@@ -129,4 +132,4 @@
 
 }  // namespace croftrun
 
-#endif  // CROFTRUN_TESTS_FIXTURE_H_
+#endif  // CROFTRUN_TESTS_CONTROLLER_FIXTURE_H_
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <tuple>
 
-#include "fixture.h"
+#include "controller_fixture.h"
 
 namespace croftrun {
 namespace {
@@ -1085,7 +1085,7 @@
 
 TEST(ControllerPools, UsesOnlyPoolsOfClass) {
   Settings s = TestSettings();
-  s.topology = Topology::kGroups;
+  s.topology = Topology::kPools;
   s.own_number = -1;
   s.classes[0].pools = {1, 3};
   ControllerFixture fixture(s);
--- a/tests/core_parts_test.cpp
+++ b/tests/core_parts_test.cpp
@@ -45,7 +45,7 @@
   EXPECT_TRUE(group.Seize(1, 9, &seized));
   EXPECT_FALSE(group.SeizeByFarEnd(0, 3));  // glare
   EXPECT_EQ(group.TakeOutOfService(0), 9U);
-  EXPECT_EQ(group.InUse(), 0U);
+  EXPECT_EQ(group.UsableCircuits(), 0U);
   EXPECT_TRUE(group.BringIntoService(0));
 }
 
@@ -104,7 +104,7 @@
   update.entries.push_back({.exchange = 5, .number = 1, .incarnation = 2, .age_us = 12'500'000});
   DirectoryUpdate directory;
   ASSERT_EQ(view.Apply(1'200'000, update, &directory), RosterView::UpdateResult::kApplied);
-  EXPECT_EQ(directory.entries.at(0).since_us, 0U);  // 1 would start its warm-up now
+  EXPECT_EQ(directory.entries.at(0).started_at_us, 0U);  // 1 would start its warm-up now
 }
 
 TEST(NumberPlan, FindsLongestPrefix) {
@@ -113,7 +113,7 @@
   EXPECT_TRUE(plan.Add("123", {.destination = 2}));
   EXPECT_FALSE(plan.Add("123", {.destination = 3}));
   EXPECT_FALSE(plan.Add("12a", {}));
-  EXPECT_FALSE(plan.Add(std::string(kMostDigits + 1, '1'), {}));
+  EXPECT_FALSE(plan.Add(std::string(kMaxDigits + 1, '1'), {}));
   EXPECT_EQ(plan.Find("12")->destination, 1);
   EXPECT_EQ(plan.Find("1234")->destination, 2);
   EXPECT_FALSE(plan.Find("2"));
@@ -164,20 +164,20 @@
   DirectoryUpdate directory;
   RosterEntry entry{.exchange = 5, .number = 1, .incarnation = 2, .age_us = 400};
   view.Apply(1000, {.version = 1, .base = {}, .entries = {entry}}, &directory);
-  EXPECT_EQ(directory.entries.at(0).since_us, 600U);
+  EXPECT_EQ(directory.entries.at(0).started_at_us, 600U);
   entry.age_us = 900;  // repeated with clock deviation: not a restart
   view.Apply(1600, {.version = 2, .base = {}, .entries = {entry}}, &directory);
-  EXPECT_EQ(directory.entries.at(0).since_us, 600U);
+  EXPECT_EQ(directory.entries.at(0).started_at_us, 600U);
   entry.incarnation = 3;
   entry.age_us = 100;
   view.Apply(2000, {.version = 3, .base = {}, .entries = {entry}}, &directory);
-  EXPECT_EQ(directory.entries.at(0).since_us, 1900U);
+  EXPECT_EQ(directory.entries.at(0).started_at_us, 1900U);
   entry.incarnation = 2;
   entry.status = ExchangeStatus::kGone;
   view.Apply(2100, {.version = 4, .base = {}, .entries = {entry}}, &directory);
   ASSERT_EQ(directory.entries.size(), 1U);  // the latest status is applied in any case
   EXPECT_EQ(directory.entries[0].status, ExchangeStatus::kGone);
-  EXPECT_EQ(directory.entries[0].since_us, 1900U);
+  EXPECT_EQ(directory.entries[0].started_at_us, 1900U);
 }
 
 TEST(Roster, RejectsMalformedUpdates) {
@@ -216,7 +216,7 @@
 // ---- settings ----
 
 TEST(EdgeSettings, ReportsAllMistakesWithTheirPaths) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   edge::ParseEdgeSettings(R"({
     "exchange": {"number": "three"},
     "agent": {"listen": "127.0.0.1:2727", "most_calls": 0, "colour": "red"},
@@ -235,7 +235,7 @@
 }
 
 TEST(EdgeSettings, ReportsMistakesBeyondTheSchema) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   edge::ParseEdgeSettings(R"({
     "exchange": {"number": 1}, "agent": {"listen": "nowhere"}, "gateway": {"address": "127.0.0.2:2427", "domain": "a@b"},
     "lines": {"count": 4, "number_prefix": "", "digit_map": "(["},
--- a/tests/day_file_test.cpp
+++ b/tests/day_file_test.cpp
@@ -111,7 +111,7 @@
 TEST(DayFile, ReducedNetworkBlocksLikeFullNetwork) {
   const DayNetwork whole = MakeNetwork(10, 1.0);
   const auto blocked = [](const DayNetwork& network) {
-    PlayedDay day(ScenarioOf(network), DeciderNamed("direct-only"));
+    PlayedDay day(ScenarioOf(network), FindDeciderFactory("direct-only"));
     day.Play();
     const ClassOutcome& all = day.report.classes.at(0);
     EXPECT_GT(all.tries, 300U);
--- a/tests/day_fixture.h
+++ b/tests/day_fixture.h
@@ -16,7 +16,7 @@
 // Runs the scenario in `scenario_json` and keeps its results. Counts are sums over all call classes.
 class PlayedDay : public lab::VirtualDay {
  public:
-  explicit PlayedDay(const std::string& scenario_json, core::MakeDecider decider = {})
+  explicit PlayedDay(const std::string& scenario_json, core::DeciderFactory decider = {})
       : VirtualDay(Parse(scenario_json), std::move(decider)) {}
   std::uint64_t Answered() const {
     std::uint64_t sum = 0;
@@ -36,7 +36,7 @@
 
  private:
   static lab::Scenario Parse(const std::string& text) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     lab::Scenario parsed = lab::ParseScenario(text, &mistakes);
     if (!mistakes.empty()) throw std::runtime_error(config::ToString(mistakes));
     return parsed;
--- a/tests/flow_export_test.cpp
+++ b/tests/flow_export_test.cpp
@@ -146,7 +146,7 @@
   Ring ring(65'536);
   Recorder recorder({0, 1'000'000, 20'000}, &day.runtime, &ring);
   day.edges.At(0).core().AddObserver(&recorder);
-  day.runtime.SetWall(1'796'000'000'000'000);
+  day.runtime.SetWallClock(1'796'000'000'000'000);
   day.Play();
   const core::CoreCounters& counters = day.edges.At(0).core().counters();
   std::uint64_t established = 0, refused = 0, failed = 0, hung_up = 0, intervals = 0;
@@ -179,7 +179,7 @@
     core::AttemptRecord attempt;
     attempt.sent_at = runtime.Now();
     runtime.RunFor(2'500'000);
-    runtime.SetWall(1'796'000'000'000'000 + step);  // the clock is set while the call is established
+    runtime.SetWallClock(1'796'000'000'000'000 + step);  // the clock is set while the call is established
     attempt.ended_at = runtime.Now();
     recorder.OnAttempt(attempt);
     FlowRecord record;
--- a/tests/flow_outage_test.cpp
+++ b/tests/flow_outage_test.cpp
@@ -185,7 +185,7 @@
 
 TEST_F(FlowOutage, FailingDiskCostsNoMoreThanNoSpool) {
   sim::MemoryDisk disk;
-  disk.SetRoom(100'000);
+  disk.SetCapacity(100'000);
   Ring ring(16'384);
   ExporterSettings settings = MakeSettings(Transport::kTcp, true);
   settings.collectors[0].queue = 1024;
--- a/tests/flow_spool_test.cpp
+++ b/tests/flow_spool_test.cpp
@@ -221,14 +221,14 @@
   Spool spool(SmallSettings(), &disk);
   ASSERT_FALSE(spool.Open());
   ASSERT_TRUE(Write(&spool, RecordKind::kCall, 0, 10));
-  disk.SetRoom(disk.used() + 100);  // the next write is torn
+  disk.SetCapacity(disk.used() + 100);  // the next write is torn
   EXPECT_FALSE(Write(&spool, RecordKind::kCall, 10, 10));
   EXPECT_EQ(spool.counters().errors, 1U);
   EXPECT_EQ(spool.last_error(), std::errc::no_space_on_device);
   EXPECT_FALSE(spool.IsWritable(kSecond + 1));
   EXPECT_FALSE(Write(&spool, RecordKind::kCall, 10, 10, 2 * kSecond));
   EXPECT_EQ(spool.counters().errors, 1U);  // no write was attempted
-  disk.SetRoom(1U << 20U);
+  disk.SetCapacity(1U << 20U);
   EXPECT_TRUE(Write(&spool, RecordKind::kCall, 10, 10, 7 * kSecond));
   const auto records = ReadAll(&spool);
   ASSERT_EQ(records.size(), 20U);
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -6,7 +6,7 @@
 #include <limits>
 #include <random>
 
-#include "fixture.h"
+#include "controller_fixture.h"
 #include "wire/host.h"
 #include "wire_bytes.h"
 
@@ -65,7 +65,7 @@
 // Calls, exchanges, classes and customers that do not exist, figures that are not finite numbers, and events out of
 // order.
 TEST(Fuzz, AnswersCallsAtMostOnceOnInvalidEvents) {
-  for (const Topology topology : {Topology::kMeshed, Topology::kGroups}) {
+  for (const Topology topology : {Topology::kMeshed, Topology::kPools}) {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
       Settings s = TestSettings();
       s.topology = topology;
@@ -127,7 +127,7 @@
                                         .zone = static_cast<int>(random() % 3),
                                         .number = static_cast<int>(random() % 6),
                                         .status = static_cast<ExchangeStatus>(random() % 3),
-                                        .since_us = random() % 3 == 0 ? random() : fixture.now});
+                                        .started_at_us = random() % 3 == 0 ? random() : fixture.now});
             }
             fixture.Handle(update);
           }
--- a/tests/platform_fixture.h
+++ b/tests/platform_fixture.h
@@ -89,7 +89,7 @@
         discovery_(&runtime_, kDiscovery),
         exchange_1_(&runtime_, ExchangeAddress(1)),
         exchange_2_(&runtime_, ExchangeAddress(2)) {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     const NodeConfig config = ParseNodeConfig(ConfigJson().dump(), "", "", &mistakes);
     EXPECT_TRUE(mistakes.empty()) << config::ToString(mistakes);
     node_ = std::make_unique<Node>(config, &runtime_, &log_);
@@ -100,7 +100,7 @@
     for (PlatformExchange* const exchange : {&exchange_1_, &exchange_2_}) {
       for (PlatformConnection* const connection : exchange->OpenConnections()) {
         connection->Send(
-            {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:20;total:20"}}});
+            {.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", "spare:20;total:20"}}});
       }
     }
     runtime_.RunFor(kMs);
@@ -108,7 +108,7 @@
   // Reports this many circuits in use, out of 20.
   static void ReportCircuits(PlatformConnection& connection, int used) {
     const std::string load = "spare:" + std::to_string(20 - used) + ";total:20";
-    connection.Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", load}}});
+    connection.Send({.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", load}}});
   }
   // Publishes a directory notification with changes.
   void PublishChanges(std::uint64_t number, const std::vector<json>& targets) {
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -84,7 +84,7 @@
   bad["board"] = 7;
   bad["limits"]["sockets"] = -4;
   bad["known"]["notices"][0]["pool"]["targets"][1]["state"] = "Odd";
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   ParseNodeConfig(bad.dump(), "", "", &mistakes);
   ASSERT_EQ(mistakes.size(), 4U) << config::ToString(mistakes);
   EXPECT_EQ(mistakes[0].path, "/listen");
@@ -96,7 +96,7 @@
 }
 
 TEST(NodeConfigTest, ParsesNestedSettingsLikeBenchSettings) {
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   const NodeConfig config = ParseNodeConfig(ConfigJson().dump(), "", "", &mistakes);
   EXPECT_EQ(config.module.own_number, 0);
   EXPECT_EQ(config.module.resend_guard_us, 300'000U);
@@ -297,7 +297,7 @@
   PlatformExchange::Release(*exchange_1_.OpenConnections()[0], kOtherCall, 16);
   runtime_.RunFor(5 * kMs);
   ASSERT_EQ(caller->FinalMessages(kOtherCall).size(), 2U);
-  caller->connection.Send({.type = MessageType::kHeard, .id = kOtherCall});
+  caller->connection.Send({.type = MessageType::kAcknowledgement, .id = kOtherCall});
   runtime_.RunFor(5 * kMs);
   EstablishCall(*caller, kCall);
   caller->connection.stream.reset();
@@ -317,7 +317,7 @@
   next->SetUp("9b1f03aa5c7e2d44", 1);
   runtime_.RunFor(2'500 * kMs);
   ASSERT_EQ(next->FinalMessages(kCall).size(), 1U);
-  next->connection.Send({.type = MessageType::kHeard, .id = kCall});
+  next->connection.Send({.type = MessageType::kAcknowledgement, .id = kCall});
   runtime_.RunFor(20'000 * kMs);
   EXPECT_EQ(next->FinalMessages(kCall).size(), 1U);
   EXPECT_LE(other->FinalMessages(kCall).size(), 1U);
@@ -402,14 +402,14 @@
   const auto caller = ConnectCaller();
   EstablishCall(*caller, kCall);
   const auto answers = std::exchange(exchange_1_.on_set_up, [](PlatformConnection&, const Message&) {});
-  runtime_.SetSilent(ExchangeAddress(1), true);
+  runtime_.SetUnreachable(ExchangeAddress(1), true);
   runtime_.RunFor(4'200 * kMs);
   caller->SetUp(kOtherCall, 1);
   runtime_.RunFor(5 * kMs);
   ASSERT_EQ(caller->FinalMessages(kOtherCall).size(), 1U);
   EXPECT_EQ(caller->FinalMessages(kOtherCall)[0].cause, 42);
   EXPECT_EQ(exchange_1_.Received(MessageType::kSetUp).size(), 1U);
-  runtime_.SetSilent(ExchangeAddress(1), false);
+  runtime_.SetUnreachable(ExchangeAddress(1), false);
   exchange_1_.on_set_up = answers;
   runtime_.RunFor(2'000 * kMs);
   EstablishCall(*caller, "9b1f03aa5c7e2d43");
@@ -443,7 +443,7 @@
   const auto answers = std::exchange(exchange_1_.on_set_up, [](PlatformConnection&, const Message&) {});
   caller->SetUp(kCall, 1);  // occupies the only connection
   runtime_.RunFor(5 * kMs);
-  runtime_.SetSilent(ExchangeAddress(1), true);
+  runtime_.SetUnreachable(ExchangeAddress(1), true);
   exchange_1_.on_set_up = answers;
   caller->SetUp(kOtherCall, 1);
   for (int i = 0; i < 6; ++i) {
@@ -464,7 +464,7 @@
   runtime_.RunFor(2'800 * kMs);
   PlatformConnection& newest = *exchange_1_.OpenConnections().back();
   ReportCircuits(newest, 0);
-  newest.Send({.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:-1;total:x"}}});
+  newest.Send({.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", "spare:-1;total:x"}}});
   runtime_.RunFor(1'300 * kMs);
   ASSERT_EQ(caller->FinalMessages(kCall).size(), 2U);
   EXPECT_EQ(caller->FinalMessages(kCall)[1].cause, 41);
@@ -492,7 +492,7 @@
   front->SendRaw("{\"t\":\"hb\",\"ref\":\"0000000000000001\",\"f\":{},\"c\":0}\n");
   runtime_.RunFor(5 * kMs);
   ASSERT_EQ(front->connection.received.size(), 1U);
-  EXPECT_EQ(front->connection.received[0].type, MessageType::kTested);
+  EXPECT_EQ(front->connection.received[0].type, MessageType::kHeartbeatResponse);
   EXPECT_EQ(front->connection.received[0].cause, 1);
   caller->connection.stream.reset();
   runtime_.RunFor(5 * kMs);
@@ -662,7 +662,7 @@
   other.Publish(2, EventJson(2, false, json::array({TargetJson(1, "Terminating")})));
   json config = ConfigJson();
   config["board"] = core::ToString(kOtherDiscovery);
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   node_->Reconfigure(ParseNodeConfig(config.dump(), "", "", &mistakes));
   runtime_.RunFor(100 * kMs);
   EXPECT_EQ(other.last_event_ids, (std::vector<std::string>{"1"}));
@@ -773,7 +773,8 @@
   EstablishCall(*caller, kOtherCall);
   PlatformExchange::Release(*exchange_1_.OpenConnections()[0], kOtherCall, 16);
   runtime_.RunFor(5 * kMs);
-  caller->connection.Send({.type = MessageType::kHeard, .id = kOtherCall});  // this host sends acknowledgements
+  caller->connection.Send(
+      {.type = MessageType::kAcknowledgement, .id = kOtherCall});  // this host sends acknowledgements
   EstablishCall(*caller, kCall);
   second->SetUp("9b1f03aa5c7e2d43", 1);
   runtime_.RunFor(5 * kMs);
@@ -793,7 +794,8 @@
   EstablishCall(*caller, kOtherCall);
   PlatformExchange::Release(*exchange_1_.OpenConnections()[0], kOtherCall, 16);
   runtime_.RunFor(5 * kMs);
-  caller->connection.Send({.type = MessageType::kHeard, .id = kOtherCall});  // this host sends acknowledgements
+  caller->connection.Send(
+      {.type = MessageType::kAcknowledgement, .id = kOtherCall});  // this host sends acknowledgements
   EstablishCall(*caller, kCall);
   EstablishCall(*second, "9b1f03aa5c7e2d43");
   node_->Stop([] {});
--- a/tests/crossings_sockets_test.cpp
+++ b/tests/race_sockets_test.cpp
@@ -72,9 +72,9 @@
                        .description = "offer"});
 }
 
-class SocketCrossingsTest : public ::testing::Test {
+class SocketRaceTest : public ::testing::Test {
  protected:
-  SocketCrossingsTest()
+  SocketRaceTest()
       : test_number_(++test_number),
         discovery_(&runtime_, TestAddress(3, 9092)),
         exchange_1_(&runtime_, TestAddress(2)) {}
@@ -85,12 +85,12 @@
     json target = TargetJson(1);
     target["endpoint"] = core::ToString(TestAddress(2));
     config["known"] = {{"rev", 1}, {"notices", json::array({json::parse(EventJson(1, true, json::array({target})))})}};
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     node_ = std::make_unique<Node>(ParseNodeConfig(config.dump(), "", "", &mistakes), &runtime_, &log_);
     ASSERT_TRUE(mistakes.empty());
     ASSERT_TRUE(RunUntil([this] { return !exchange_1_.OpenConnections().empty(); }));
     exchange_1_.OpenConnections()[0]->Send(
-        {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:20;total:20"}}});
+        {.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", "spare:20;total:20"}}});
     ASSERT_TRUE(RunUntil([this] { return node_->exchanges().counters().changed_reports == 1; }));
   }
   // Returns false if the condition is not met within ten seconds.
@@ -117,7 +117,7 @@
   std::unique_ptr<Node> node_;
 };
 
-TEST_F(SocketCrossingsTest, DropsSetUpIfCallerHasAlreadyClosed) {
+TEST_F(SocketRaceTest, DropsSetUpIfCallerHasAlreadyClosed) {
   Start();
   {
     RawClient client(TestAddress(1));
@@ -130,7 +130,7 @@
   EXPECT_EQ(node_->core().open_calls(), 0U);
 }
 
-TEST_F(SocketCrossingsTest, StartsNoAttemptIfCloseOfCallerIsUnread) {
+TEST_F(SocketRaceTest, StartsNoAttemptIfCloseOfCallerIsUnread) {
   RawClient* leaving = nullptr;
   exchange_1_.on_set_up = [&](PlatformConnection& connection, const Message& message) {
     PlatformExchange::Release(connection, message.id, 41);  // reset: retried after the release wait of 300 ms
@@ -152,7 +152,7 @@
   EXPECT_EQ(node_->core().open_calls(), 0U);
 }
 
-TEST_F(SocketCrossingsTest, HandlesFragmentedSetUpOnceComplete) {
+TEST_F(SocketRaceTest, HandlesFragmentedSetUpOnceComplete) {
   Start();
   RawClient client(TestAddress(1));
   const std::string line = SetUpLine(kCall, 1);
@@ -165,7 +165,7 @@
   EXPECT_EQ(exchange_1_.Received(MessageType::kSetUp).size(), 1U);
 }
 
-TEST_F(SocketCrossingsTest, AnswersConnectionsWaitingForAcceptAtStop) {
+TEST_F(SocketRaceTest, AnswersConnectionsWaitingForAcceptAtStop) {
   Start();
   bool stopped = false;
   std::vector<std::unique_ptr<RawClient>> waiting;
@@ -189,7 +189,7 @@
   EXPECT_TRUE(late->closed);  // closed in order after the answer
 }
 
-TEST_F(SocketCrossingsTest, EvictsIdleClientWhenDescriptorsAreExhausted) {
+TEST_F(SocketRaceTest, EvictsIdleClientWhenDescriptorsAreExhausted) {
   Start();
   {
     // Serves and closes one client beforehand: a sanitizer inspects each type of object once and needs descriptors for
@@ -221,7 +221,7 @@
   EXPECT_EQ(node_->callers().counters().connections_silent, 0U);  // not because the silent connections had timed out
 }
 
-TEST_F(SocketCrossingsTest, DoesNotWaitForClientThatKeepsHalfClosedConnection) {
+TEST_F(SocketRaceTest, DoesNotWaitForClientThatKeepsHalfClosedConnection) {
   Start();
   RawClient client(TestAddress(1));
   client.Send("nonsense\n");
@@ -232,7 +232,7 @@
   EXPECT_TRUE(RunUntil([&] { return !client.TrySend("x"); }));
 }
 
-TEST_F(SocketCrossingsTest, BindsAddressOnceItIsFree) {
+TEST_F(SocketRaceTest, BindsAddressOnceItIsFree) {
   sockaddr_in socket_address{};
   socket_address.sin_family = AF_INET;
   socket_address.sin_port = htons(TestAddress(1).port);
--- a/tests/crossings_test.cpp
+++ b/tests/race_test.cpp
@@ -31,11 +31,11 @@
 
 json Metrics(const Node& node) { return json::parse(node.Metrics()); }
 
-using CrossingsTest = PlatformTest;
+using RaceTest = PlatformTest;
 
 // ---- clients that leave ----
 
-TEST_F(CrossingsTest, DropsSetUpReleasedInSameData) {
+TEST_F(RaceTest, DropsSetUpReleasedInSameData) {
   const auto caller = ConnectCaller();
   caller->SendRaw(SetUpLine(kCall, 1) + ReleaseLine(kCall) + SetUpLine(kOtherCall, 1));
   runtime_.RunFor(5 * kMs);
@@ -46,7 +46,7 @@
   EXPECT_EQ(node_->callers().unanswered_set_ups(), 0U);
 }
 
-TEST_F(CrossingsTest, DropsSetUpFollowedByInvalidLine) {
+TEST_F(RaceTest, DropsSetUpFollowedByInvalidLine) {
   const auto caller = ConnectCaller();
   caller->SendRaw(SetUpLine(kCall, 1) + "nonsense\n");
   runtime_.RunFor(5 * kMs);
@@ -56,7 +56,7 @@
   EXPECT_EQ(node_->core().open_calls(), 0U);
 }
 
-TEST_F(CrossingsTest, StartsNoAttemptForWaitingCallAfterCallerLeft) {
+TEST_F(RaceTest, StartsNoAttemptForWaitingCallAfterCallerLeft) {
   // The caller leaves while the call waits for a circuit, and while it waits for the release after a reset.
   for (const bool no_circuit_free : {true, false}) {
     int attempts = 0;
@@ -65,12 +65,12 @@
       connection.Reset();
     };
     for (PlatformConnection* const connection : exchange_1_.OpenConnections())
-      connection->Send({.type = MessageType::kGauge,
+      connection->Send({.type = MessageType::kGroupReport,
                         .id = "0000000000000000",
                         .fields = {{"load", no_circuit_free ? "spare:0;total:20" : "spare:20;total:20"}}});
     for (PlatformConnection* const connection : exchange_2_.OpenConnections())
       connection->Send(
-          {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:0;total:20"}}});
+          {.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", "spare:0;total:20"}}});
     runtime_.RunFor(kMs);
     auto caller = ConnectCaller();
     caller->SendRaw(SetUpLine(no_circuit_free ? kOtherCall : kCall, 1, no_circuit_free ? "a1" : "a2"));
@@ -81,7 +81,7 @@
     runtime_.RunFor(10 * kMs);
     for (PlatformConnection* const connection : exchange_1_.OpenConnections())
       connection->Send(
-          {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:19;total:20"}}});
+          {.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", "spare:19;total:20"}}});
     runtime_.RunFor(4'000 * kMs);
     EXPECT_EQ(attempts, no_circuit_free ? 0 : 1);
     EXPECT_EQ(node_->core().open_calls(), 0U);
@@ -90,10 +90,10 @@
 
 // ---- callers' connections ----
 
-TEST_F(CrossingsTest, KeepsConnectionWithEndlessLineUntilPendingAnswerIsSent) {
+TEST_F(RaceTest, KeepsConnectionWithEndlessLineUntilPendingAnswerIsSent) {
   json config = ConfigJson();
   config["settings"]["grades"][0]["slo_us"] = 8'000'000;  // longer than the timeout of an incomplete line
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   node_.reset();
   node_ = std::make_unique<Node>(ParseNodeConfig(config.dump(), "", "", &mistakes), &runtime_, &log_);
   runtime_.RunFor(50 * kMs);
@@ -115,11 +115,11 @@
   EXPECT_TRUE(caller->connection.end.has_value());  // no answer is pending any more
 }
 
-TEST_F(CrossingsTest, ServesWaitingConnectionOnceLimitAllowsIt) {
+TEST_F(RaceTest, ServesWaitingConnectionOnceLimitAllowsIt) {
   exchange_1_.on_set_up = [](PlatformConnection&, const Message&) {};
   for (PlatformConnection* const connection : exchange_1_.OpenConnections())
     connection->Send(
-        {.type = MessageType::kGauge, .id = "0000000000000000", .fields = {{"load", "spare:200;total:200"}}});
+        {.type = MessageType::kGroupReport, .id = "0000000000000000", .fields = {{"load", "spare:200;total:200"}}});
   std::vector<std::unique_ptr<PlatformCaller>> busy;
   while (node_->callers().connection_count() < 68) {
     busy.push_back(ConnectCaller());
@@ -141,10 +141,10 @@
   EXPECT_EQ(next->FinalMessages(kCall)[0].type, MessageType::kAnswer);
 }
 
-TEST_F(CrossingsTest, IdleClientsDoNotBlockOthersWhileDiscoveryIsDown) {
+TEST_F(RaceTest, IdleClientsDoNotBlockOthersWhileDiscoveryIsDown) {
   json config = ConfigJson();
   config["board"] = core::ToString(kOtherDiscovery);  // no service listens there yet
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   node_.reset();
   node_ = std::make_unique<Node>(ParseNodeConfig(config.dump(), "", "", &mistakes), &runtime_, &log_);
   std::vector<std::unique_ptr<PlatformCaller>> idle;
@@ -160,7 +160,7 @@
   EstablishCall(*regular, kCall);
 }
 
-TEST_F(CrossingsTest, ShutdownWaitsForPartialLine) {
+TEST_F(RaceTest, ShutdownWaitsForPartialLine) {
   bool stopped = false;
   const auto caller = ConnectCaller();
   const std::string line = SetUpLine(kCall, 1);
@@ -177,7 +177,7 @@
   EXPECT_TRUE(stopped);
 }
 
-TEST_F(CrossingsTest, ShutdownTimeIsBounded) {
+TEST_F(RaceTest, ShutdownTimeIsBounded) {
   bool stopped = false;
   std::vector<std::unique_ptr<PlatformCaller>> callers;
   node_->Stop([&stopped] { stopped = true; });
@@ -191,7 +191,7 @@
 
 // ---- directory ----
 
-TEST_F(CrossingsTest, RequestsMissingEventsAfterLastAppliedOne) {
+TEST_F(RaceTest, RequestsMissingEventsAfterLastAppliedOne) {
   discovery_.Store(2, EventJson(2, false, json::array({TargetJson(2, "Terminating")})));
   PublishChanges(3, {TargetJson(1, "Terminating")});
   runtime_.RunFor(100 * kMs);
@@ -205,7 +205,7 @@
   EXPECT_TRUE(exchange_2_.Received(MessageType::kSetUp).empty());
 }
 
-TEST_F(CrossingsTest, AppliesDrainBeyondGapAtOnceAndSkipsPermanentGap) {
+TEST_F(RaceTest, AppliesDrainBeyondGapAtOnceAndSkipsPermanentGap) {
   discovery_.Write("id: 5\ndata: " +
                    EventJson(5, false, json::array({TargetJson(1, "Terminating"), TargetJson(2, "Ready")})) + "\n\n");
   runtime_.RunFor(kMs / 2);
@@ -220,7 +220,7 @@
   EXPECT_EQ(Metrics(*node_)["board"]["gaps"], 1);
 }
 
-TEST_F(CrossingsTest, RequestsUnreadableEventOnlyOnceMore) {
+TEST_F(RaceTest, RequestsUnreadableEventOnlyOnceMore) {
   discovery_.Store(2, EventJson(2, false, json::array({TargetJson(1, "Terminating")})));
   discovery_.Write("id: 2\ndata: {\"rev\":2,\"pool\":{}}\n\n");
   runtime_.RunFor(100 * kMs);
@@ -234,7 +234,7 @@
   EXPECT_EQ(Metrics(*node_)["board"]["last"], 4);
 }
 
-TEST_F(CrossingsTest, LateNotificationOfOldExchangeDoesNotAffectSuccessor) {
+TEST_F(RaceTest, LateNotificationOfOldExchangeDoesNotAffectSuccessor) {
   PublishChanges(2, {TargetJson(1, "Ready", "s-new")});
   runtime_.RunFor(5 * kMs);
   SendReports();
@@ -252,7 +252,7 @@
   EstablishCall(*caller, kCall);
 }
 
-TEST_F(CrossingsTest, UsesExchangeThatReturnsAtItsAddress) {
+TEST_F(RaceTest, UsesExchangeThatReturnsAtItsAddress) {
   PublishChanges(2, {TargetJson(1, "Ready", "s-new")});
   const std::int64_t later = runtime_.WallClockUs() / 1000 + 1'000;
   PublishChanges(3, {TargetJson(1, "Gone", "s-new")});
@@ -262,7 +262,7 @@
   EXPECT_EQ(node_->exchanges().Find("s-new"), 0U);
 }
 
-TEST_F(CrossingsTest, UsesExchangeAfterDrainIsCancelled) {
+TEST_F(RaceTest, UsesExchangeAfterDrainIsCancelled) {
   PublishChanges(2, {TargetJson(1, "Terminating")});
   PublishChanges(3, {TargetJson(1, "Ready")});
   runtime_.RunFor(5 * kMs);
@@ -272,7 +272,7 @@
 
 // ---- exchanges ----
 
-TEST_F(CrossingsTest, QueuedReleaseDoesNotReachAdoptedCallWithSameId) {
+TEST_F(RaceTest, QueuedReleaseDoesNotReachAdoptedCallWithSameId) {
   const auto caller = ConnectCaller();
   EstablishCall(*caller, kCall);
   for (PlatformConnection* const connection : exchange_1_.OpenConnections()) connection->Reset();
@@ -289,7 +289,7 @@
   EXPECT_EQ(node_->exchanges().call_leg_count(), 0U);
 }
 
-TEST_F(CrossingsTest, AvoidsUnresponsiveConnectionUntilDataArrives) {
+TEST_F(RaceTest, AvoidsUnresponsiveConnectionUntilDataArrives) {
   exchange_1_.on_set_up = [](PlatformConnection&, const Message&) {};
   const auto caller = ConnectCaller();
   caller->SetUp(kCall, 1);
@@ -306,7 +306,7 @@
   runtime_.RunFor(5 * kMs);
   EXPECT_EQ(other->received.back().id, CallNumber(1));
   PlatformExchange::Answer(*other, CallNumber(1), "good");
-  silent->Send({.type = MessageType::kHeard, .id = kCall});
+  silent->Send({.type = MessageType::kAcknowledgement, .id = kCall});
   runtime_.RunFor(5 * kMs);
   caller->SetUp(CallNumber(2), 1);
   runtime_.RunFor(5 * kMs);
@@ -340,7 +340,7 @@
   const bool before_sending = GetParam();
   sim::VirtualRuntime runtime(7);
   NullLogger log;
-  std::vector<config::Mistake> mistakes;
+  std::vector<config::SettingsError> mistakes;
   core::CoreSettings settings;
   settings.module = ParseNodeConfig(ConfigJson().dump(), "", "", &mistakes).module;
   settings.network_manages_circuits = true;
--- a/tests/rules_test.cpp
+++ b/tests/random_traffic_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <random>
 
-#include "fixture.h"
+#include "controller_fixture.h"
 
 namespace croftrun {
 namespace {
@@ -66,7 +66,7 @@
             .zone = i % 2,
             .number = i,
             .status = status_[i],
-            .since_us = since_[i]};
+            .started_at_us = since_[i]};
   }
   const CallClass& ClassOf(const CallRecord& call) {
     return settings_.classes[static_cast<std::size_t>(call.offer.call_class)];
@@ -93,7 +93,7 @@
       if (call.offer.in_transit) {
         EXPECT_EQ(to, call.offer.destination);
       }
-      if (settings_.topology == Topology::kGroups) {
+      if (settings_.topology == Topology::kPools) {
         const auto& pools = ClassOf(call).pools;
         EXPECT_TRUE(std::find(pools.begin(), pools.end(), to) != pools.end());
       }
@@ -270,7 +270,7 @@
 
 TEST(RandomTrafficRules, KeptWithPools) {
   Settings s = SettingsWithAllRetrySemantics();
-  s.topology = Topology::kGroups;
+  s.topology = Topology::kPools;
   s.own_number = -1;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) RandomTraffic(s, seed).Run();
 }
--- a/tests/reach_test.cpp
+++ b/tests/reach_test.cpp
@@ -264,7 +264,7 @@
         {"name": "a", "share": 3, "aim_ms": 1500, "give_up_ms": 9000, "holding_ms": 2000},
         {"name": "b", "share": 1, "aim_ms": 1500, "give_up_ms": 9000, "worth": 3, "late_worth": 0.2, "holding_ms": 2000}]},
       "faults": [{"at_ms": 3000, "for_ms": 2000, "kind": "crash", "exchanges": [2]}, {"at_ms": 8000, "for_ms": 3000, "kind": "slow", "size": 6, "exchanges": [1]}]})",
-                  lab::DeciderNamed(name));
+                  lab::FindDeciderFactory(name));
     lab::DayAccounts accounts(day.scenario);
     day.also = [&](const lab::TraceRecord& record) { accounts.Take(record); };
     day.Play();
--- a/tests/settings_parser_test.cpp
+++ b/tests/settings_parser_test.cpp
@@ -41,7 +41,7 @@
   const Settings s = ParseSettings(
       "family_info.shape=groups\nfamily_info.class_cells.0=1,3\nfamily_info.class_cells.1=2\ngrades.count="
       "2\n");
-  EXPECT_EQ(s.topology, Topology::kGroups);
+  EXPECT_EQ(s.topology, Topology::kPools);
   EXPECT_EQ(s.classes[0].pools, (std::vector<int>{1, 3}));
   EXPECT_EQ(s.classes[1].pools, (std::vector<int>{2}));
 }
@@ -52,7 +52,7 @@
     try {
       ParseSettings(text);
       ADD_FAILURE() << text;
-    } catch (const BadSetting& error) {
+    } catch (const InvalidSetting& error) {
       const std::string key = std::string(text).substr(0, std::string(text).find('='));
       EXPECT_NE(std::string(error.what()).find(key), std::string::npos) << error.what();
     }
--- a/tests/soak_judge_test.cpp
+++ b/tests/soak_judge_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "lab/soak/judge.h"
-#include "lab/soak/script.h"
+#include "lab/soak/schedule.h"
 
 namespace croftrun::lab::soak {
 namespace {
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -64,16 +64,16 @@
 }
 
 TEST_F(TransactionsTest, DoesNotRetransmitWhileResponseMayBeInLocalQueue) {
-  runtime.SetBacklog(1'000 * kMs);
+  runtime.SetQueueDelay(1'000 * kMs);
   Send();
   runtime.RunFor(900 * kMs);
   // The time-out is 200 ms, but a response may be delayed by 1 s in the queue.
   EXPECT_EQ(gateway.received.size(), 1U);
-  runtime.SetBacklog(2'000 * kMs);  // the queue grows while the timer runs
+  runtime.SetQueueDelay(2'000 * kMs);  // the queue grows while the timer runs
   runtime.RunFor(900 * kMs);
   EXPECT_EQ(gateway.received.size(), 1U);
   EXPECT_EQ(layer->counters().postponed, 1U);
-  runtime.SetBacklog(0);
+  runtime.SetQueueDelay(0);
   runtime.RunFor(3'000 * kMs);
   EXPECT_GE(gateway.received.size(), 2U);  // the response must have been lost
   runtime.RunFor(30'000 * kMs);
--- a/tests/ws_test.cpp
+++ b/tests/ws_test.cpp
@@ -11,7 +11,7 @@
 #include <future>
 #include <thread>
 
-#include "hard_case_fixture.h"
+#include "call_path_fixture.h"
 #include "runtime/asio_runtime.h"
 #include "ws/server.h"
 #include "ws/session_manager.h"
@@ -100,7 +100,7 @@
     api.session_manager.session.commands = {10.0, 12.0};
     settings.api = api;
     StartEdge();
-    runtime.SetWall(1'900'000'000'000'000);
+    runtime.SetWallClock(1'900'000'000'000'000);
   }
   std::string Token(std::int64_t expires_s = 2'000'000'000, const std::string& client = "crew-7") {
     return MakeToken({client, "", expires_s}, "a key of some length");
@@ -211,7 +211,7 @@
   const auto id = OpenSession(&connection, Token(1'900'000'010));
   const CallId call = PlaceCall(id, &connection, "r1");
   OnCircuit(LastSeized(), "MS/ans");
-  runtime.SetWall(1'900'000'020'000'000);
+  runtime.SetWallClock(1'900'000'020'000'000);
   EXPECT_EQ(PlaceCall(id, &connection, "r2"), 0U);
   EXPECT_EQ(connection.Last().at("error").at("code"), "token-expired");
   EXPECT_EQ(node->core().open_calls(), 1U);
