--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -19,10 +19,10 @@
 #include "lab/day.h"
 #include "lab/day_accounts.h"
 #include "lab/day_file.h"
-#include "lab/day_picture.h"
+#include "lab/day_report_page.h"
 #include "lab/doors.h"
 #include "lab/edge_processes.h"
-#include "lab/rules.h"
+#include "lab/rule_checker.h"
 #include "lab/virtual_day.h"
 #include "runtime/asio_runtime.h"
 
@@ -41,8 +41,8 @@
 
 nlohmann::json RulesJson(const lab::RuleChecker& rules) {
   nlohmann::json json = {{"kept", rules.Kept()},
-                         {"calls_taken", rules.calls_taken()},
-                         {"transit_taken", rules.transit_taken()},
+                         {"calls_taken", rules.accepted_calls()},
+                         {"transit_taken", rules.accepted_transit_calls()},
                          {"fell_over", rules.fell_over()}};
   for (std::size_t i = 0; i < lab::kRules; ++i) {
     const auto rule = static_cast<lab::Rule>(i);
@@ -107,13 +107,13 @@
 
 nlohmann::json AccountJson(const reach::Account& account) {
   nlohmann::json lost = nlohmann::json::object();
-  for (std::size_t i = 0; i < reach::kLost; ++i)
-    lost[std::string(reach::Name(static_cast<reach::Lost>(i)))] = account.lost[i];
+  for (std::size_t i = 0; i < reach::kLossCategories; ++i)
+    lost[std::string(reach::Name(static_cast<reach::LossCategory>(i)))] = account.lost[i];
   return {{"tries", account.tries},
           {"in_time", account.in_time},
           {"late", account.late},
           {"lost", lost},
-          {"exact", account.Exact()}};
+          {"exact", account.IsBalanced()}};
 }
 
 double WorthServed(const lab::Scenario& scenario, const reach::Ledger& ledger) {
@@ -131,8 +131,8 @@
   const reach::Ledger& ledger = accounts.ledger();
   nlohmann::json json = {{"total", AccountJson(ledger.Total())},
                          {"circuit_refusals", ledger.refusals()},
-                         {"refusals_of_one_circuit_running", ledger.most_running()},
-                         {"wasted", {{"count", ledger.wasted()}, {"examples", ledger.examples()}}},
+                         {"refusals_of_one_circuit_running", ledger.max_consecutive_refusals()},
+                         {"wasted", {{"count", ledger.waste_count()}, {"examples", ledger.examples()}}},
                          {"within_reach",
                           {{"solved", bound.solved},
                            {"worth", bound.worth},
@@ -141,8 +141,8 @@
                            {"share_of_offered", bound.Share()},
                            {"columns", bound.columns},
                            {"rows", bound.rows},
-                           {"per_cent_more_circuits", bound.for_circuits},
-                           {"per_cent_more_processing", bound.for_processors}}}};
+                           {"per_cent_more_circuits", bound.worth_of_one_percent_circuits},
+                           {"per_cent_more_processing", bound.worth_of_one_percent_processing}}}};
   if (bound.solved && bound.worth > 0.0) json["share_of_reach"] = WorthServed(scenario, ledger) / bound.worth;
   for (std::size_t i = 0; i < scenario.classes.size(); ++i)
     json["classes"][scenario.classes[i].name] = AccountJson(ledger.accounts()[i]);
@@ -160,17 +160,17 @@
                 bound.by_tandem ? "each tandem separately" : "all tandems combined",
                 bound.worth > 0.0 ? WorthServed(scenario, ledger) / bound.worth : 1.0);
     std::printf("  1%% more circuits would have been worth %.1f, 1%% more processing %.1f, of %.0f\n",
-                bound.for_circuits, bound.for_processors, bound.worth);
+                bound.worth_of_one_percent_circuits, bound.worth_of_one_percent_processing, bound.worth);
   }
   std::printf("where %llu tries went: %llu in time, %llu late", n(total.tries), n(total.in_time), n(total.late));
-  for (std::size_t i = 0; i < reach::kLost; ++i) {
+  for (std::size_t i = 0; i < reach::kLossCategories; ++i) {
     if (total.lost[i] > 0)
-      std::printf(", %llu %s", n(total.lost[i]), std::string(reach::Name(static_cast<reach::Lost>(i))).c_str());
+      std::printf(", %llu %s", n(total.lost[i]), std::string(reach::Name(static_cast<reach::LossCategory>(i))).c_str());
   }
-  std::printf("%s\n", total.Exact() ? "" : " (the sums do NOT agree)");
+  std::printf("%s\n", total.IsBalanced() ? "" : " (the sums do NOT agree)");
   std::printf("circuits refused: %llu times, one at most %u times in a row\n", n(ledger.refusals()),
-              ledger.most_running());
-  std::printf("plainly wasted: %llu\n", n(ledger.wasted()));
+              ledger.max_consecutive_refusals());
+  std::printf("plainly wasted: %llu\n", n(ledger.waste_count()));
   for (const std::string& example : ledger.examples()) std::printf("    %s\n", example.c_str());
 }
 
@@ -311,7 +311,7 @@
   // The trace is evaluated after the run, so that the laboratory stays faster than the edges it measures.
   trace.Flush();
   if (!ReadTrace(options.folder + "/trace.jsonl", [&](const lab::TraceRecord& record) {
-        rules.Take(record);
+        rules.ProcessRecord(record);
         accounts.Take(record);
       }))
     return kCannotRun;
@@ -320,7 +320,7 @@
   const bool clean = edges.StopAll(5'000);
   const reach::Bound bound = accounts.Bound();
   std::ofstream(options.folder + "/day.html") << lab::DayPage(scenario, accounts, bound, rules);
-  const bool wasted = accounts.ledger().wasted() > 0 || !accounts.ledger().Total().Exact();
+  const bool wasted = accounts.ledger().waste_count() > 0 || !accounts.ledger().Total().IsBalanced();
   bool agree = true;
   nlohmann::json flows;
   if (collectors) flows = collectors->Compare(rules, scenario, &agree);
@@ -336,7 +336,7 @@
     std::printf("%s: %d edges, %d exchanges, %.1f calls/s for %.0f s, %llu datagrams, %llu calls in transit\n",
                 scenario.name.c_str(), scenario.edges, scenario.exchanges, scenario.calls_per_s,
                 static_cast<double>(scenario.length_us) / 1e6, static_cast<unsigned long long>(report.datagrams),
-                static_cast<unsigned long long>(rules.transit_taken()));
+                static_cast<unsigned long long>(rules.accepted_transit_calls()));
     std::printf("%s", rules.Summary().c_str());
     PrintReport(scenario, report);
     PrintAccounts(scenario, accounts, bound);
@@ -352,7 +352,7 @@
     std::printf("edges exited cleanly: %s\n", clean ? "yes" : "NO");
     std::printf("trace, HTML report (day.html), settings, logs and metrics are in %s\n", options.folder.c_str());
   }
-  return rules.Kept() && clean && agree && !wasted && report.fell_over == 0 ? kDone : kVerdictAgainst;
+  return rules.Kept() && clean && agree && !wasted && report.fell_over == 0 ? kDone : kCheckFailed;
 }
 
 int CompareAdmission(const LabAdmission& options) {
@@ -404,7 +404,7 @@
   lab::RuleChecker rules;
   lab::DayAccounts accounts(scenario);
   if (!ReadTrace(folder + "/trace.jsonl", [&](const lab::TraceRecord& record) {
-        rules.Take(record);
+        rules.ProcessRecord(record);
         accounts.Take(record);
       }))
     return kBadInput;
@@ -462,11 +462,13 @@
           if (day.rules.Finding(static_cast<lab::Rule>(r)).broken > 0)
             rest += std::string(lab::Name(static_cast<lab::Rule>(r))) + "! ";
         }
-        for (std::size_t l = 0; l < reach::kLost; ++l) {
+        for (std::size_t l = 0; l < reach::kLossCategories; ++l) {
           if (total.lost[l] > 0)
-            rest += std::string(reach::Name(static_cast<reach::Lost>(l))) + " " + std::to_string(total.lost[l]) + ", ";
+            rest += std::string(reach::Name(static_cast<reach::LossCategory>(l))) + " " +
+                    std::to_string(total.lost[l]) + ", ";
         }
-        if (accounts.ledger().wasted() > 0) rest += "plainly wasted " + std::to_string(accounts.ledger().wasted());
+        if (accounts.ledger().waste_count() > 0)
+          rest += "plainly wasted " + std::to_string(accounts.ledger().waste_count());
         std::printf("%-34s %-20s %7.3f %7.3f %7.1f%% %8llu  %s\n",
                     (scenario.name + " #" + std::to_string(scenario.seed)).c_str(), name.c_str(), day.report.service,
                     share, 100.0 * refused, static_cast<unsigned long long>(total.tries), rest.c_str());
@@ -475,12 +477,12 @@
     }
   }
   if (options.json) std::cout << results.dump(1) << "\n";
-  return kept ? kDone : kVerdictAgainst;
+  return kept ? kDone : kCheckFailed;
 }
 
 int CheckTrace(const std::string& path, bool json) {
   lab::RuleChecker rules;
-  if (!ReadTrace(path, [&](const lab::TraceRecord& record) { rules.Take(record); })) return kBadInput;
+  if (!ReadTrace(path, [&](const lab::TraceRecord& record) { rules.ProcessRecord(record); })) return kBadInput;
   rules.Finish();
   if (rules.edges() == 0) {
     std::cerr << path << ": names no edge (a record of the fact \"day\" is missing), so nothing can be checked\n";
@@ -491,7 +493,7 @@
   } else {
     std::cout << rules.Summary();
   }
-  return rules.Kept() ? kDone : kVerdictAgainst;
+  return rules.Kept() ? kDone : kCheckFailed;
 }
 
 int CheckConfig(const std::string& path, bool json) {
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -11,7 +11,7 @@
 // Exit codes, also listed in the help text.
 enum ExitCode {
   kDone = 0,
-  kVerdictAgainst = 1,  // the command ran and a check failed, for example a rule was broken or an edge crashed
+  kCheckFailed = 1,  // the command ran and a check failed, for example a rule was broken or an edge crashed
   kUsage = 2,
   kBadInput = 3,  // a file cannot be read or does not match its schema
   kCannotRun = 4,
--- a/src/cli/flow.cpp
+++ b/src/cli/flow.cpp
@@ -101,7 +101,7 @@
   std::fprintf(stderr, "%llu messages, %llu records, %llu lost, %llu malformed\n",
                static_cast<unsigned long long>(counters.messages), static_cast<unsigned long long>(records),
                static_cast<unsigned long long>(counters.lost), static_cast<unsigned long long>(counters.malformed));
-  return counters.malformed == 0 ? kDone : kVerdictAgainst;
+  return counters.malformed == 0 ? kDone : kCheckFailed;
 }
 
 int ReportFlow(const FlowRun& options) {
--- a/src/cli/load.cpp
+++ b/src/cli/load.cpp
@@ -327,7 +327,7 @@
   } else {
     for (const auto& [key, value] : json.items()) std::printf("%-28s %s\n", key.c_str(), value.dump().c_str());
   }
-  return f.unanswered == 0 && f.late == 0 && clean ? kDone : kVerdictAgainst;
+  return f.unanswered == 0 && f.late == 0 && clean ? kDone : kCheckFailed;
 }
 
 }  // namespace croftrun::cli
--- a/src/cli/rules.cpp
+++ b/src/cli/rules.cpp
@@ -185,7 +185,7 @@
                   f["found"].get<std::string>().c_str());
     std::printf("%zu of %zu examples hold\n", rules.examples.size() - failures.size(), rules.examples.size());
   }
-  return failures.empty() ? kDone : kVerdictAgainst;
+  return failures.empty() ? kDone : kCheckFailed;
 }
 
 int BenchRules(const RulesRun& options) {
--- a/src/cli/soak.cpp
+++ b/src/cli/soak.cpp
@@ -250,7 +250,7 @@
   } else {
     PrintSummary(summary, trials.size());
   }
-  return summary.failed == 0 ? kDone : kVerdictAgainst;
+  return summary.failed == 0 ? kDone : kCheckFailed;
 }
 
 }  // namespace croftrun::cli
--- a/src/edge/edge_node.cpp
+++ b/src/edge/edge_node.cpp
@@ -52,7 +52,7 @@
 }
 
 void EdgeNode::LogUnknownHosts() {
-  const mgcp::StrangerCounters& unknown = transactions_.strangers();
+  const mgcp::UnknownHostCounters& unknown = transactions_.unknown_hosts();
   const std::uint64_t total = unknown.commands + unknown.responses + unknown.malformed;
   if (total > unknown_host_datagrams_logged_)
     log_->Write(core::LogLevel::kWarning, "strangers", 0,
@@ -143,10 +143,10 @@
                               {"refused_full", transaction_counters.refused_full},
                               {"postponed", transaction_counters.postponed}}},
                             {"strangers",
-                             {{"commands", transactions_.strangers().commands},
-                              {"responses", transactions_.strangers().responses},
-                              {"malformed", transactions_.strangers().malformed},
-                              {"answered", transactions_.strangers().answered}}},
+                             {{"commands", transactions_.unknown_hosts().commands},
+                              {"responses", transactions_.unknown_hosts().responses},
+                              {"malformed", transactions_.unknown_hosts().malformed},
+                              {"answered", transactions_.unknown_hosts().answered}}},
                             {"trunks",
                              {{"legs", trunks_.legs()},
                               {"releasing", trunks_.releasing()},
--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -367,12 +367,12 @@
   }
 
   static void ReadTransactions(const json& entry, mgcp::TransactionSettings* t) {
-    Time(entry, "first_timeout_ms", &t->first_timeout_us);
-    Time(entry, "longest_timeout_ms", &t->longest_timeout_us);
+    Time(entry, "first_timeout_ms", &t->initial_timeout_us);
+    Time(entry, "longest_timeout_ms", &t->max_timeout_us);
     Time(entry, "give_up_ms", &t->give_up_us);
     Time(entry, "history_ms", &t->history_us);
-    Value(entry, "most_pending", &t->most_pending);
-    Value(entry, "most_history", &t->most_history);
+    Value(entry, "most_pending", &t->max_pending);
+    Value(entry, "most_history", &t->max_history);
   }
 
   std::vector<config::SettingsError>* mistakes_;
@@ -460,12 +460,12 @@
                        {"longest_pause_ms", m.max_retry_after_us / kUsPerMs},
                        {"marks_redials", m.marks_redials},
                        {"tells_wait", m.reports_wait_time}};
-  result["transactions"] = {{"first_timeout_ms", s.transactions.first_timeout_us / kUsPerMs},
-                            {"longest_timeout_ms", s.transactions.longest_timeout_us / kUsPerMs},
+  result["transactions"] = {{"first_timeout_ms", s.transactions.initial_timeout_us / kUsPerMs},
+                            {"longest_timeout_ms", s.transactions.max_timeout_us / kUsPerMs},
                             {"give_up_ms", s.transactions.give_up_us / kUsPerMs},
                             {"history_ms", s.transactions.history_us / kUsPerMs},
-                            {"most_pending", s.transactions.most_pending},
-                            {"most_history", s.transactions.most_history}};
+                            {"most_pending", s.transactions.max_pending},
+                            {"most_history", s.transactions.max_history}};
   result["log"] = {{"level", s.log_level}, {"file", s.log_file}};
   return result;
 }
--- a/src/edge/line_front.cpp
+++ b/src/edge/line_front.cpp
@@ -9,7 +9,7 @@
 namespace croftrun::edge {
 namespace {
 
-using mgcp::Answered;
+using mgcp::TransactionResult;
 using mgcp::Verb;
 using mgcp::Writer;
 
@@ -101,14 +101,15 @@
   transactions_->Send(settings_.gateway, {Verb::kDlcx, all, "", {}});
   const std::uint32_t request = next_request_id_++;
   for (Line& line : lines_) RecordArmedRequest(line, request);
-  transactions_->Send(settings_.gateway, {Verb::kRqnt, all, IdleLineRequest(request), [this](const Answered& answered) {
-                                            if (answered.ok()) return;
-                                            arm_retry_timer_.Start(kArmRetryInterval, [this] {
-                                              // Lines that have a call by now keep their current request.
-                                              if (calling_lines_.empty() && called_lines_.empty()) return ArmAllLines();
-                                              ArmIdleLines(std::string(wire_names::kLines) + "*");
-                                            });
-                                          }});
+  transactions_->Send(settings_.gateway,
+                      {Verb::kRqnt, all, IdleLineRequest(request), [this](const TransactionResult& answered) {
+                         if (answered.ok()) return;
+                         arm_retry_timer_.Start(kArmRetryInterval, [this] {
+                           // Lines that have a call by now keep their current request.
+                           if (calling_lines_.empty() && called_lines_.empty()) return ArmAllLines();
+                           ArmIdleLines(std::string(wire_names::kLines) + "*");
+                         });
+                       }});
 }
 
 void LineFront::ArmIdleLines(std::string_view pattern) {
@@ -156,7 +157,8 @@
   return body;
 }
 
-void LineFront::SendCommand(int line_number, Verb verb, std::string body, mgcp::Transactions::OnAnswer on_response) {
+void LineFront::SendCommand(int line_number, Verb verb, std::string body,
+                            mgcp::Transactions::ResultHandler on_response) {
   transactions_->Send(settings_.gateway,
                       {verb, wire_names::Line(line_number, settings_.domain), std::move(body), std::move(on_response)});
 }
@@ -297,7 +299,7 @@
   Writer(&body).Line("C", CallParameter(core_->own_number(), call)).Line("L", "p:20, a:PCMU").Line("M", "sendrecv");
   body += OnHookRequest();
   Writer(&body).Session(answer.session);
-  SendCommand(line_number, Verb::kCrcx, std::move(body), [this, call](const Answered& answered) {
+  SendCommand(line_number, Verb::kCrcx, std::move(body), [this, call](const TransactionResult& answered) {
     if (answered.ok()) return core_->OnCallerSession(call, answered.message->session);
     // The line has gone on hook or is out of order: the call has no caller any more.
     const int found_line = FindCallingLine(call);
@@ -322,7 +324,7 @@
   Writer writer(&body);
   writer.Line("S", signal).Line(wire_names::kAnswer, answer);
   if (retry_after_us > 0) writer.Line(wire_names::kPause, std::to_string(retry_after_us / 1000));
-  SendCommand(line_number, Verb::kRqnt, std::move(body), [this, line_number](const Answered& answered) {
+  SendCommand(line_number, Verb::kRqnt, std::move(body), [this, line_number](const TransactionResult& answered) {
     // 402: the line is on hook already; its notification may have been overtaken or lost.
     Line& current = lines_[static_cast<std::size_t>(line_number)];
     if (answered.code() == mgcp::kAlreadyOnHook && current.state == State::kTone) HandleOnHook(line_number, current);
@@ -379,8 +381,8 @@
   writer.Line("C", CallParameter(core_->own_number(), call)).Line("L", "p:20, a:PCMU").Line("M", "recvonly");
   body += NextRequestId();
   writer.Line("R", "L/hd(N)").Line("S", "L/rg");
-  SendCommand(*line_number, Verb::kCrcx, std::move(body), [this, call](const Answered& answered) {
-    if (answered.ok() || answered.ending == mgcp::Ending::kNoAnswer) return;
+  SendCommand(*line_number, Verb::kCrcx, std::move(body), [this, call](const TransactionResult& answered) {
+    if (answered.ok() || answered.outcome == mgcp::TransactionOutcome::kNoResponse) return;
     // 401: the line went off hook at the same time to dial, so it is busy for the caller. Any other error: the
     // line is out of order.
     const int found_line = FindCalledLine(call);
@@ -427,7 +429,7 @@
     if (!mgcp::EndpointMatches(pattern, std::string(wire_names::kLines) + std::to_string(i))) continue;
     const int line_number = static_cast<int>(i);
     SendCommand(line_number, Verb::kAuep, "F: I, ES\r\n",
-                [this, line_number, call = lines_[i].call](const Answered& answered) {
+                [this, line_number, call = lines_[i].call](const TransactionResult& answered) {
                   Line& line = lines_[static_cast<std::size_t>(line_number)];
                   const bool is_same_call = line.state != State::kIdle && line.call == call;
                   if (!is_same_call || !answered.ok() || line.state == State::kRinging) return;
--- a/src/edge/line_front.h
+++ b/src/edge/line_front.h
@@ -57,7 +57,7 @@
   // does not come from a line and keeps its customer unless that is -1. If the result says that a rule refuses the
   // call, the other results are not to be used.
   Classifier::Result PrepareCall(const core::NumberMeaning& meaning, TimeUs caller_timeout_us, int line,
-                                         core::CallRequest* call_request);
+                                 core::CallRequest* call_request);
   // Returns true from off hook (or ringing) until on hook.
   bool InUse(int line) const {
     return line > 0 && static_cast<std::size_t>(line) < lines_.size() &&
@@ -96,7 +96,8 @@
   // Deletes the line's connection, if any. Arms the line if `rearm` is set, otherwise waits for on hook.
   void Disconnect(int line_number, Line& line, bool rearm, std::string_view signal);
   void UnbindCall(Line& line);
-  void SendCommand(int line_number, mgcp::Verb verb, std::string body, mgcp::Transactions::OnAnswer on_response = {});
+  void SendCommand(int line_number, mgcp::Verb verb, std::string body,
+                   mgcp::Transactions::ResultHandler on_response = {});
   // Gives the line a new request for off hook and digits; returns the body that arms it on the gateway.
   std::string ArmLine(Line& line);
   std::string IdleLineRequest(std::uint32_t request) const;
--- a/src/edge/trunk_gateway.cpp
+++ b/src/edge/trunk_gateway.cpp
@@ -11,7 +11,7 @@
 
 using core::ReleaseCause;
 using core::ReleaseInfo;
-using mgcp::Answered;
+using mgcp::TransactionResult;
 using mgcp::Verb;
 using mgcp::Writer;
 
@@ -66,7 +66,7 @@
 }
 
 std::uint32_t TrunkGateway::Send(CircuitKey key, Verb verb, std::string body,
-                                 mgcp::Transactions::OnAnswer on_response) {
+                                 mgcp::Transactions::ResultHandler on_response) {
   return transactions_->Send(settings_.gateway, {verb, EndpointName(key), std::move(body), std::move(on_response)});
 }
 
@@ -135,7 +135,7 @@
     }
     const std::uint32_t transaction =
         Send(key, Verb::kCrcx, std::move(body),
-             [this, key, call = leg.call, attempt = leg.attempt](const Answered& answered) {
+             [this, key, call = leg.call, attempt = leg.attempt](const TransactionResult& answered) {
                HandleSeizureResponse(key, call, attempt, answered);
              });
     // If there are too many transactions, the callback runs within Send and may have removed the call leg.
@@ -144,7 +144,7 @@
   }
 }
 
-void TrunkGateway::HandleSeizureResponse(CircuitKey key, CallId call, int attempt, const Answered& answered) {
+void TrunkGateway::HandleSeizureResponse(CircuitKey key, CallId call, int attempt, const TransactionResult& answered) {
   const auto found = call_legs_.find(key);
   const bool current = found != call_legs_.end() && found->second.call == call && found->second.attempt == attempt;
   if (!current) {
@@ -164,7 +164,7 @@
     return;
   }
   // No response within T-MAX: the attempt's own timeout is shorter and decides.
-  if (answered.ending == mgcp::Ending::kNoAnswer) return;
+  if (answered.outcome == mgcp::TransactionOutcome::kNoResponse) return;
   const int code = answered.code();
   leg.refused = true;
   leg.reported_idle = answered.message != nullptr && answered.message->Get(wire_names::kState) == "idle";
@@ -180,7 +180,7 @@
   } else {
     // Whatever the error, this set-up has not left the exchange. The module gets one of two causes: the own processor
     // is down, or the circuit was not free.
-    const bool own_down = code == mgcp::kNoResourcesNow;
+    const bool own_down = code == mgcp::kInsufficientResources;
     core_->OnTrunkReleased(call, attempt,
                            {own_down ? ReleaseCause::kOwnOutOfOrder : ReleaseCause::kGlare, core_->own_number()});
   }
@@ -380,7 +380,7 @@
   writer.Line("C", CallParameter(core_->own_number(), set.call)).Line("L", "p:20, a:PCMU").Line("M", "sendrecv");
   body += EventRequest(leg->second.request_id, kCallEvents);
   writer.Line("S", "MS/ans").Session(session);
-  Send(key, Verb::kCrcx, std::move(body), [this, key, call = set.call](const Answered& answered) {
+  Send(key, Verb::kCrcx, std::move(body), [this, key, call = set.call](const TransactionResult& answered) {
     const auto at = call_legs_.find(key);
     if (answered.ok() && at != call_legs_.end() && at->second.call == call)
       at->second.connection = answered.message->Get("I");
@@ -398,7 +398,7 @@
     const CallLeg leg = std::move(found->second);
     call_legs_.erase(found);
     // A seizure without a response must not be retransmitted after its release.
-    if (leg.seizure_transaction != 0) transactions_->StopRepeating(leg.seizure_transaction);
+    if (leg.seizure_transaction != 0) transactions_->StopRetransmitting(leg.seizure_transaction);
     ++counters_.released;
     if (leg.refused) {
       // Our seizure was refused because the far end has seized the circuit, and a release here would release the far
@@ -423,15 +423,17 @@
   writer.Line("S", ReleaseSignal(info));
   if (info.exchange_number >= 0) writer.Line(wire_names::kAt, std::to_string(info.exchange_number));
   if (info.wait_us > 0) writer.Line(wire_names::kWait, std::to_string(info.wait_us / 1000));
-  Send(key, Verb::kDlcx, std::move(body), [this, key, request_id = state.request_id](const Answered& answered) {
-    if (answered.ok()) without_request_.erase(key);
-    const auto release = releases_.find(key);
-    if (release == releases_.end() || release->second.request_id != request_id) return;
-    // No response, or an error: nothing was deleted, and a later audit round asks again.
-    if (!answered.ok() && answered.code() != mgcp::kUnknownConnection && answered.code() != mgcp::kUnknownCall) return;
-    const auto reported_state = answered.message->Get(wire_names::kState);
-    if (reported_state == "idle" || (reported_state.empty() && release->second.far_released)) MarkFree(key);
-  });
+  Send(key, Verb::kDlcx, std::move(body),
+       [this, key, request_id = state.request_id](const TransactionResult& answered) {
+         if (answered.ok()) without_request_.erase(key);
+         const auto release = releases_.find(key);
+         if (release == releases_.end() || release->second.request_id != request_id) return;
+         // No response, or an error: nothing was deleted, and a later audit round asks again.
+         if (!answered.ok() && answered.code() != mgcp::kUnknownConnection && answered.code() != mgcp::kUnknownCall)
+           return;
+         const auto reported_state = answered.message->Get(wire_names::kState);
+         if (reported_state == "idle" || (reported_state.empty() && release->second.far_released)) MarkFree(key);
+       });
 }
 
 void TrunkGateway::MarkFree(CircuitKey key) {
@@ -473,7 +475,7 @@
     audit_queue_.pop_front();
     ++outstanding_audits_;
     ++counters_.audits;
-    Send(key, Verb::kAuep, "F: I, ES, RM\r\n", [this, key](const Answered& answered) {
+    Send(key, Verb::kAuep, "F: I, ES, RM\r\n", [this, key](const TransactionResult& answered) {
       --outstanding_audits_;
       audits_in_progress_.erase(key);
       HandleAuditResponse(key, answered);
@@ -483,7 +485,7 @@
   }
 }
 
-void TrunkGateway::HandleAuditResponse(CircuitKey key, const Answered& answered) {
+void TrunkGateway::HandleAuditResponse(CircuitKey key, const TransactionResult& answered) {
   if (answered.message != nullptr) {
     unaudited_in_use_.erase(key);
   } else if (call_legs_.count(key) > 0) {
@@ -608,7 +610,7 @@
   const TimeUs sent = runtime_->Now();
   const std::string endpoint = std::string(wire_names::kFar) + std::to_string(group) + "@" + settings_.domain;
   transactions_->Send(settings_.gateway,
-                      {Verb::kAuep, endpoint, "F: ES\r\n", [this, group, sent](const Answered& response) {
+                      {Verb::kAuep, endpoint, "F: ES\r\n", [this, group, sent](const TransactionResult& response) {
                          core_->OnGroupProbed(group, response.ok(), runtime_->Now() - sent,
                                               response.ok() ? ParseLoadReport(*response.message) : core::LoadReport{});
                        }});
--- a/src/edge/trunk_gateway.h
+++ b/src/edge/trunk_gateway.h
@@ -79,8 +79,8 @@
   };
 
   std::string EndpointName(CircuitKey key) const;
-  std::uint32_t Send(CircuitKey key, mgcp::Verb verb, std::string body, mgcp::Transactions::OnAnswer on_response);
-  void HandleSeizureResponse(CircuitKey key, CallId call, int attempt, const mgcp::Answered& answered);
+  std::uint32_t Send(CircuitKey key, mgcp::Verb verb, std::string body, mgcp::Transactions::ResultHandler on_response);
+  void HandleSeizureResponse(CircuitKey key, CallId call, int attempt, const mgcp::TransactionResult& answered);
   // Returns true if a reported seizure belongs to an earlier use of the circuit or has been reported before.
   bool IsStaleSeizure(CircuitKey key, std::uint32_t request_id, const mgcp::Message& message) const;
   void HandleIncomingSeizure(CircuitKey key, const mgcp::EventRef& sup, const mgcp::Message& message);
@@ -96,7 +96,7 @@
   // the gateway are left out.
   void AuditAfterActivity(CircuitKey key);
   void SendQueuedAudits();
-  void HandleAuditResponse(CircuitKey key, const mgcp::Answered& answered);
+  void HandleAuditResponse(CircuitKey key, const mgcp::TransactionResult& answered);
   void RunAuditRound();
   void TakeOutOfService(CircuitKey key);
   std::string EventRequest(std::uint32_t request_id, std::string_view events) const;
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -92,7 +92,7 @@
 
 void Day::StartEdge(int number) {
   const std::string log = log_folder_.empty() ? "" : log_folder_ + "/edge-" + std::to_string(number) + ".log";
-  trace_->Fact("edge-start", {{"exchange", number}});
+  trace_->RecordFact("edge-start", {{"exchange", number}});
   edges_->Start(number, EdgeSettingsFor(scenario_, number, log));
 }
 
@@ -106,16 +106,16 @@
   nlohmann::json classes = nlohmann::json::array();
   for (const TrafficClass& c : scenario_.classes)
     classes.push_back({{"name", c.name}, {"give_up_ms", c.give_up_us / 1000}});
-  trace_->Fact("day", {{"edges", edges},
-                       {"classes", classes},
-                       {"roster", core::ToString(RosterAddress(scenario_))},
-                       {"release_ms", scenario_.release_us / 1000},
-                       {"drain_grace_ms", scenario_.drain_grace_us / 1000}});
+  trace_->RecordFact("day", {{"edges", edges},
+                             {"classes", classes},
+                             {"roster", core::ToString(RosterAddress(scenario_))},
+                             {"release_ms", scenario_.release_us / 1000},
+                             {"drain_grace_ms", scenario_.drain_grace_us / 1000}});
   for (int i = 0; i < scenario_.edges; ++i) StartEdge(i);
   After(kWarmUp, [this, done = std::move(done)] {
     began_ = runtime_->Now();
     ends_ = began_ + scenario_.length_us;
-    trace_->Fact("day-begins", {{"length_us", scenario_.length_us}});
+    trace_->RecordFact("day-begins", {{"length_us", scenario_.length_us}});
     Sample();
     for (int i = 0; i < scenario_.edges; ++i) {
       if (RateOf(i) > 0.0) After(static_cast<TimeUs>(Exponential(1e6 / RateOf(i))), [this, i] { Arrive(i); });
@@ -178,7 +178,7 @@
         groups.push_back({a, b, all - network_.IdleBetween(a, b), all});
     }
   }
-  trace_->Fact("sample", {{"groups", groups}, {"waits_ms", waits}});
+  trace_->RecordFact("sample", {{"groups", groups}, {"waits_ms", waits}});
   if (runtime_->Now() < ends_) After(kSample, [this] { Sample(); });
 }
 
@@ -198,19 +198,19 @@
     if (i == caller.from || i == caller.to || !network_.At(i).alive) continue;
     if (network_.IdleBetween(caller.from, i) >= width && network_.IdleBetween(i, caller.to) >= width) ++tandems;
   }
-  trace_->Fact("try", {{"exchange", caller.from},
-                       {"line", caller.line},
-                       {"to", caller.to},
-                       {"class", c.name},
-                       {"how", how},
-                       {"began_us", caller.this_try},
-                       {"first_us", caller.first_try},
-                       {"direct", direct >= width},
-                       {"tandems", tandems},
-                       {"healthy", Healthy(caller.from) && Healthy(caller.to)},
-                       {"crowded", caller.called == crowded_},
-                       {"pause_ms", pause_us / 1000},
-                       {"alive", network_.At(caller.to).alive && !network_.At(caller.to).hung}});
+  trace_->RecordFact("try", {{"exchange", caller.from},
+                             {"line", caller.line},
+                             {"to", caller.to},
+                             {"class", c.name},
+                             {"how", how},
+                             {"began_us", caller.this_try},
+                             {"first_us", caller.first_try},
+                             {"direct", direct >= width},
+                             {"tandems", tandems},
+                             {"healthy", Healthy(caller.from) && Healthy(caller.to)},
+                             {"crowded", caller.called == crowded_},
+                             {"pause_ms", pause_us / 1000},
+                             {"alive", network_.At(caller.to).alive && !network_.At(caller.to).hung}});
 }
 
 // ---- callers ----
@@ -264,7 +264,8 @@
   caller.first_try = runtime_->Now();
   ++report_.classes[static_cast<std::size_t>(caller.call_class)].offered;
   const CallerId id = next_caller_++;
-  trace_->Fact("offered", {{"from", from}, {"to", caller.to}, {"class", caller.call_class}, {"crowded", crowded}});
+  trace_->RecordFact("offered",
+                     {{"from", from}, {"to", caller.to}, {"class", caller.call_class}, {"crowded", crowded}});
   callers_[id] = caller;
   Try(id);
 }
@@ -373,7 +374,8 @@
   TimeUs own = least + static_cast<TimeUs>(Unit() * static_cast<double>(most - least));
   if (scenario_.redial_doubles) own <<= std::min(caller.tries - 1, 8);
   if (caller.patience_of_aim > 0.0) own = kListen, pause_us = 0;  // dials again at once and heeds nothing
-  if (pause_us > 0 && scenario_.heeds_pause < 1.0 && Unit() >= scenario_.heeds_pause) pause_us = 0;
+  if (pause_us > 0 && scenario_.retry_after_compliance < 1.0 && Unit() >= scenario_.retry_after_compliance)
+    pause_us = 0;
   const TimeUs wait = std::max(pause_us, own);
   const bool over = caller.tries > caller.most_redials || runtime_->Now() + wait > caller.first_try + c.give_up_us;
   if (over || runtime_->Now() + wait > ends_ + scenario_.settle_us / 2) return Leave(id);
@@ -430,7 +432,7 @@
   if (runtime_->Now() >= until) return;
   for (const int number : fault.exchanges) {
     if (number >= scenario_.edges || !stalled_.insert(number).second) continue;
-    trace_->Fact("edge-stalled", {{"exchange", number}});
+    trace_->RecordFact("edge-stalled", {{"exchange", number}});
     edges_->Stall(number, true);
   }
   const auto stall = static_cast<TimeUs>(fault.size * 1000.0);
@@ -438,7 +440,7 @@
     for (const int number : fault.exchanges) {
       if (stalled_.erase(number) == 0) continue;
       edges_->Stall(number, false);
-      trace_->Fact("edge-goes-on", {{"exchange", number}});
+      trace_->RecordFact("edge-goes-on", {{"exchange", number}});
     }
   });
   After(stall + std::max<TimeUs>(fault.every_us, 1000), [this, fault, until] { StallEdges(fault, until); });
@@ -478,7 +480,7 @@
 }
 
 void Day::Inflict(const Fault& fault) {
-  trace_->Fact("fault", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
+  trace_->RecordFact("fault", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
   const TimeUs until = runtime_->Now() + (fault.for_us > 0 ? fault.for_us : scenario_.length_us);
   if (fault.kind == "crash" || fault.kind == "unit-restart") {
     for (const int number : fault.exchanges) {
@@ -527,7 +529,7 @@
       stand_in->second->Crowd(crowded_, fault.lines);
   } else if (fault.kind == "edge-kill") {
     for (const int number : fault.exchanges) {
-      trace_->Fact("edge-killed", {{"exchange", number}});
+      trace_->RecordFact("edge-killed", {{"exchange", number}});
       edges_->Kill(number);
     }
   } else if (fault.kind == "path") {
@@ -550,7 +552,7 @@
 }
 
 void Day::Relieve(const Fault& fault) {
-  trace_->Fact("relief", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
+  trace_->RecordFact("relief", {{"kind", fault.kind}, {"exchanges", fault.exchanges}});
   if (fault.kind == "crash" || fault.kind == "unit-restart") {
     for (const int number : fault.exchanges) {
       network_.Start(number);
--- a/src/lab/day_accounts.cpp
+++ b/src/lab/day_accounts.cpp
@@ -11,7 +11,7 @@
 
 using mgcp::Verb;
 using nlohmann::json;
-using reach::SetUpEnd;
+using reach::SetUpOutcome;
 
 // The bound's intervals, and how finely the timeline of faults is walked.
 constexpr TimeUs kInterval = 4'000'000, kStep = 50'000;
@@ -126,7 +126,7 @@
   if (!message.is_command) return;
   const std::string circuit(message.endpoint.local);
   if (circuit.rfind(wire_names::kCircuits, 0) != 0) return;
-  if (message.verb == Verb::kDlcx) return End(edge, circuit, SetUpEnd::kGivenUp, 0);
+  if (message.verb == Verb::kDlcx) return End(edge, circuit, SetUpOutcome::kCancelled, 0);
   if (message.verb != Verb::kCrcx) return;
   const auto events = Events(message, "S");
   const auto* sup = Find(events, "sup");
@@ -138,12 +138,13 @@
   // A repeat of the same command is no second set-up.
   const auto before = edge.by_caller.find(caller);
   if (edge.asked.count(message.transaction) > 0 ||
-      (before != edge.by_caller.end() && before->second.circuit == circuit && before->second.end == SetUpEnd::kOut))
+      (before != edge.by_caller.end() && before->second.circuit == circuit &&
+       before->second.end == SetUpOutcome::kPending))
     return;
   edge.asked[message.transaction] = circuit;
   edge.by_caller[caller] = {name->group, circuit, at};
   edge.on_circuit[circuit] = caller;
-  ledger_.OnSetUp(at - first_, edge.number, name->group, ExchangeOf(mgcp::Argument(sup->parameters, "addr")));
+  ledger_.RecordSetUp(at - first_, edge.number, name->group, ExchangeOf(mgcp::Argument(sup->parameters, "addr")));
 }
 
 void DayAccounts::OnGateway(Edge& edge, TimeUs at, const mgcp::Message& message) {
@@ -153,28 +154,28 @@
     const std::string circuit = asked->second;
     edge.asked.erase(asked);
     if (message.code < 400) return;
-    const bool down = message.code == mgcp::kNoResourcesNow;
-    if (!down && edge.on_circuit.count(circuit) > 0) ledger_.OnCircuitRefused(at - first_, edge.number, circuit);
-    return End(edge, circuit, down ? SetUpEnd::kOwnDown : SetUpEnd::kOwnRefused, 0);
+    const bool down = message.code == mgcp::kInsufficientResources;
+    if (!down && edge.on_circuit.count(circuit) > 0) ledger_.RecordCircuitRefusal(at - first_, edge.number, circuit);
+    return End(edge, circuit, down ? SetUpOutcome::kOwnDown : SetUpOutcome::kOwnRefused, 0);
   }
   const std::string circuit(message.endpoint.local);
   if (message.verb != Verb::kNtfy || circuit.rfind(wire_names::kCircuits, 0) != 0) return;
   const auto events = Events(message, "O");
-  if (Find(events, "sup") != nullptr) ledger_.OnCircuitUsed(edge.number, circuit);
+  if (Find(events, "sup") != nullptr) ledger_.RecordCircuitUse(edge.number, circuit);
   if (Find(events, "ans") != nullptr) {
-    ledger_.OnCircuitUsed(edge.number, circuit);
-    End(edge, circuit, SetUpEnd::kAnswered, 0);
+    ledger_.RecordCircuitUse(edge.number, circuit);
+    End(edge, circuit, SetUpOutcome::kAnswered, 0);
   }
   if (const auto* rel = Find(events, "rel")) {
     const int cause = wire_names::Number<int>(rel->parameters).value_or(41);
     if (edge.on_circuit.count(circuit) > 0) {
       if (cause == 44 || cause == 47) {
-        ledger_.OnCircuitRefused(at - first_, edge.number, circuit);
+        ledger_.RecordCircuitRefusal(at - first_, edge.number, circuit);
       } else {
-        ledger_.OnCircuitUsed(edge.number, circuit);
+        ledger_.RecordCircuitUse(edge.number, circuit);
       }
     }
-    End(edge, circuit, SetUpEnd::kReleased, cause);
+    End(edge, circuit, SetUpOutcome::kReleased, cause);
   }
 }
 
@@ -187,12 +188,13 @@
   set_up->slow = slow_.count(set_up->to) > 0 || waits;
 }
 
-void DayAccounts::End(Edge& edge, const std::string& circuit, SetUpEnd end, int cause) {
+void DayAccounts::End(Edge& edge, const std::string& circuit, SetUpOutcome end, int cause) {
   const auto caller = edge.on_circuit.find(circuit);
   if (caller == edge.on_circuit.end()) return;
   const auto set_up = edge.by_caller.find(caller->second);
   edge.on_circuit.erase(caller);
-  if (set_up == edge.by_caller.end() || set_up->second.circuit != circuit || set_up->second.end != SetUpEnd::kOut)
+  if (set_up == edge.by_caller.end() || set_up->second.circuit != circuit ||
+      set_up->second.end != SetUpOutcome::kPending)
     return;
   set_up->second.end = end;
   set_up->second.cause = cause;
@@ -201,9 +203,9 @@
 
 void DayAccounts::OnTry(const TraceRecord& record) {
   const json& f = record.figures;
-  reach::TryEnd t;
+  reach::AttemptRecord t;
   const std::string how = f.at("how").get<std::string>();
-  t.how = how;
+  t.outcome = how;
   t.from = f.at("exchange").get<int>();
   t.to = f.at("to").get<int>();
   const std::string name = f.at("class").get<std::string>();
@@ -215,22 +217,22 @@
   t.tandems = f.at("tandems").get<int>();
   t.healthy = f.at("healthy").get<bool>() && !f.at("crowded").get<bool>();
   // Four fifths of it: what is left must do for the set-up.
-  t.late = f.at("began_us").get<TimeUs>() - f.at("first_us").get<TimeUs>() > of_class->aim_us * 4 / 5;
+  t.late_redial = f.at("began_us").get<TimeUs>() - f.at("first_us").get<TimeUs>() > of_class->aim_us * 4 / 5;
   Edge& edge = edges_[t.from];
   const auto began = f.at("began_us").get<TimeUs>();
   t.own_edge_down = !edge.up || edge.last_down >= began || dead_.count(t.from) > 0;
   const auto caller = edge.by_caller.find(std::string(wire_names::kLines) + std::to_string(f.at("line").get<int>()));
   if (caller != edge.by_caller.end() && caller->second.at >= began) {
     SetUp& set_up = caller->second;
-    if (set_up.end == SetUpEnd::kOut) Judge(&set_up);
+    if (set_up.end == SetUpOutcome::kPending) Judge(&set_up);
     t.sent = true;
-    t.end = set_up.end;
+    t.set_up_outcome = set_up.end;
     t.cause = set_up.cause;
-    t.cold = set_up.cold;
-    t.dead = set_up.dead;
+    t.warming_up = set_up.cold;
+    t.down = set_up.dead;
     t.slow = set_up.slow;
   }
-  ledger_.OnTry(record.at_us - first_, t);
+  ledger_.RecordAttempt(record.at_us - first_, t);
   if (Bin* bin = BinAt(record.at_us); bin != nullptr && how != "cut" && how != "cut-late") {
     ++bin->tries;
     bin->stood += how == "stands" || how == "stands-late" ? 1 : 0;
@@ -304,10 +306,11 @@
     of.worth = c.worth;
     of.late_worth = c.late_worth;
     of.width = c.width;
-    of.keeps = reach::Keeps(static_cast<double>(c.holding_us), interval, p.intervals);
-    of.leaves = reach::Leaves(static_cast<double>(c.holding_us), interval, p.intervals);
-    of.in_time = static_cast<std::size_t>((c.aim_us + interval_us - 1) / interval_us);
-    of.late = c.late_worth > 0.0 ? static_cast<std::size_t>((c.give_up_us + interval_us - 1) / interval_us) : 0;
+    of.occupancy = reach::ExponentialOccupancy(static_cast<double>(c.holding_us), interval, p.intervals);
+    of.releases = reach::ExponentialReleases(static_cast<double>(c.holding_us), interval, p.intervals);
+    of.in_time_intervals = static_cast<std::size_t>((c.aim_us + interval_us - 1) / interval_us);
+    of.late_intervals =
+        c.late_worth > 0.0 ? static_cast<std::size_t>((c.give_up_us + interval_us - 1) / interval_us) : 0;
     p.classes.push_back(of);
   }
   std::map<std::tuple<std::size_t, std::size_t, std::size_t, bool, std::size_t>, double> demands;
--- a/src/lab/day_accounts.h
+++ b/src/lab/day_accounts.h
@@ -48,7 +48,7 @@
     int to = -1;
     std::string circuit;
     TimeUs at = 0;
-    reach::SetUpEnd end = reach::SetUpEnd::kOut;
+    reach::SetUpOutcome end = reach::SetUpOutcome::kPending;
     int cause = 0;
     bool cold = false, dead = false, slow = false;
   };
@@ -64,7 +64,7 @@
   void OnTry(const TraceRecord& record);
   void OnEdge(Edge& edge, TimeUs at, const mgcp::Message& message);
   void OnGateway(Edge& edge, TimeUs at, const mgcp::Message& message);
-  void End(Edge& edge, const std::string& circuit, reach::SetUpEnd end, int cause);
+  void End(Edge& edge, const std::string& circuit, reach::SetUpOutcome end, int cause);
   void Judge(SetUp* set_up) const;
   Bin* BinAt(TimeUs at);
 
--- a/src/lab/day_picture.cpp
+++ b/src/lab/day_report_page.cpp
@@ -1,4 +1,4 @@
-#include "lab/day_picture.h"
+#include "lab/day_report_page.h"
 
 #include <algorithm>
 #include <functional>
@@ -103,14 +103,14 @@
   out += "</p>\n<h2>Rules</h2>\n<pre>" + EscapeHtml(rules.Summary()) + "</pre>\n";
   out += "<h2>Outcome of the tries</h2>\n<table><tr><th>class</th><th>tries</th><th>in time</th><th>late</th>";
   const reach::Account total = accounts.ledger().Total();
-  for (std::size_t l = 0; l < reach::kLost; ++l) {
-    if (total.lost[l] > 0) out += "<th>" + std::string(reach::Name(static_cast<reach::Lost>(l))) + "</th>";
+  for (std::size_t l = 0; l < reach::kLossCategories; ++l) {
+    if (total.lost[l] > 0) out += "<th>" + std::string(reach::Name(static_cast<reach::LossCategory>(l))) + "</th>";
   }
   out += "</tr>\n";
   const auto row = [&](const std::string& name, const reach::Account& a) {
     out += "<tr><td>" + EscapeHtml(name) + "</td>";
     for (const std::uint64_t n : {a.tries, a.in_time, a.late}) out += "<td>" + std::to_string(n) + "</td>";
-    for (std::size_t l = 0; l < reach::kLost; ++l) {
+    for (std::size_t l = 0; l < reach::kLossCategories; ++l) {
       if (total.lost[l] > 0) out += "<td>" + std::to_string(a.lost[l]) + "</td>";
     }
     out += "</tr>\n";
@@ -118,7 +118,7 @@
   for (std::size_t i = 0; i < ledgers.size(); ++i) row(scenario.classes[i].name, ledgers[i]);
   row("all", total);
   out += "</table>\n";
-  if (accounts.ledger().wasted() > 0) {
+  if (accounts.ledger().waste_count() > 0) {
     out += "<h2>Plainly wasted</h2>\n<pre>";
     for (const std::string& each : accounts.ledger().examples()) out += EscapeHtml(each) + "\n";
     out += "</pre>\n";
--- a/src/lab/day_picture.h
+++ b/src/lab/day_report_page.h
@@ -1,11 +1,11 @@
 // Report of a scenario run as a self-contained HTML page with SVG charts.
-#ifndef CROFTRUN_LAB_DAY_PICTURE_H_
-#define CROFTRUN_LAB_DAY_PICTURE_H_
+#ifndef CROFTRUN_LAB_DAY_REPORT_PAGE_H_
+#define CROFTRUN_LAB_DAY_REPORT_PAGE_H_
 
 #include <string>
 
 #include "lab/day_accounts.h"
-#include "lab/rules.h"
+#include "lab/rule_checker.h"
 
 namespace croftrun::lab {
 
@@ -16,4 +16,4 @@
 
 }  // namespace croftrun::lab
 
-#endif  // CROFTRUN_LAB_DAY_PICTURE_H_
+#endif  // CROFTRUN_LAB_DAY_REPORT_PAGE_H_
--- a/src/lab/gateway.cpp
+++ b/src/lab/gateway.cpp
@@ -93,7 +93,7 @@
 
 void Gateway::SendFirst(const std::string& endpoint) {
   transactions_.Send(settings_.agent, {Verb::kNtfy, endpoint, notifications_[endpoint].front(),
-                                       [this, endpoint](const mgcp::Answered& answered) {
+                                       [this, endpoint](const mgcp::TransactionResult& answered) {
                                          if (answered.code() >= 400) OnRejected(endpoint, answered.message);
                                          auto& waiting = notifications_[endpoint];
                                          waiting.pop_front();
@@ -314,7 +314,8 @@
 void Gateway::SeizeFor(mgcp::Transactions::CommandId id, const mgcp::Message& message, const CircuitId& circuit,
                        std::string_view sup) {
   if (!network_->At(settings_.number).alive)
-    return transactions_.Respond(id, mgcp::kNoResourcesNow, CircuitState(circuit), "own processor out of service");
+    return transactions_.Respond(id, mgcp::kInsufficientResources, CircuitState(circuit),
+                                 "own processor out of service");
   SetUpInfo info;
   info.called = mgcp::Argument(sup, "addr");
   info.calling = mgcp::Argument(sup, "id");
--- a/src/lab/network.cpp
+++ b/src/lab/network.cpp
@@ -132,7 +132,7 @@
   const double budget = p.fall_multiple * warmth / exchange.slow * exchange.speed * static_cast<double>(p.fall_us);
   // Some slack for chance: a budget of less than a few set-ups is not spent by two that happen to meet.
   if (sum <= budget + 2.0 * static_cast<double>(p.set_up_us)) return;
-  trace_->Fact("fell-over", {{"exchange", exchange.number}});
+  trace_->RecordFact("fell-over", {{"exchange", exchange.number}});
   Kill(exchange.number);
   exchange.fell_over = true;
 }
@@ -327,7 +327,7 @@
   if (!exchange.alive) return;
   exchange.alive = false;
   exchange.busy_until = 0;
-  trace_->Fact("down", {{"exchange", number}});
+  trace_->RecordFact("down", {{"exchange", number}});
   // Both ends of everything that touches it are cut; each end hears of it as a release by the other.
   for (auto& [pair, circuits] : groups_) {
     if (pair.first != number && pair.second != number) continue;
@@ -348,13 +348,13 @@
   exchange.started_us = runtime_->Now();
   exchange.cold_work.clear();
   const ProcessorSettings& p = settings_.processor;
-  trace_->Fact("cold-start",
-               {{"exchange", number},
-                {"set_ups_per_s", 1e6 * exchange.speed / (static_cast<double>(p.set_up_us) * exchange.slow)},
-                {"cold_from", p.cold_from},
-                {"warm_up_ms", p.warm_up_us / 1000},
-                {"fall_multiple", p.fall_multiple},
-                {"fall_ms", p.fall_us / 1000}});
+  trace_->RecordFact("cold-start",
+                     {{"exchange", number},
+                      {"set_ups_per_s", 1e6 * exchange.speed / (static_cast<double>(p.set_up_us) * exchange.slow)},
+                      {"cold_from", p.cold_from},
+                      {"warm_up_ms", p.warm_up_us / 1000},
+                      {"fall_multiple", p.fall_multiple},
+                      {"fall_ms", p.fall_us / 1000}});
 }
 
 void Network::CutCircuits(int zone, const std::vector<int>& among, double keep) {
--- a/src/lab/path.cpp
+++ b/src/lab/path.cpp
@@ -20,7 +20,7 @@
   core::Address Local() const override { return port_->Local(); }
 
   void OnDatagram(const core::Address& from, std::string_view bytes) override {
-    path_->trace_->Datagram(from, Local(), bytes);
+    path_->trace_->RecordDatagram(from, Local(), bytes);
     if (!path_->faults_.Any()) return sink_->OnDatagram(from, bytes);
     path_->Carry([this, alive = alive_, from, text = std::string(bytes)] {
       if (*alive) sink_->OnDatagram(from, text);
@@ -29,7 +29,7 @@
 
  private:
   void Deliver(const core::Address& to, std::string_view bytes) {
-    path_->trace_->Datagram(Local(), to, bytes);
+    path_->trace_->RecordDatagram(Local(), to, bytes);
     port_->Send(to, bytes);
   }
 
--- a/src/lab/rules.cpp
+++ b/src/lab/rule_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/rules.h"
+#include "lab/rule_checker.h"
 
 #include <algorithm>
 
@@ -83,7 +83,7 @@
   return by_number;
 }
 
-void RuleChecker::Take(const TraceRecord& record) {
+void RuleChecker::ProcessRecord(const TraceRecord& record) {
   if (first_record_us_ == 0) first_record_us_ = record.at_us;
   last_record_us_ = std::max(last_record_us_, record.at_us);
   if (!record.fact.empty()) return OnFact(record);
--- a/src/lab/rules.h
+++ b/src/lab/rule_checker.h
@@ -3,8 +3,8 @@
 // itself.
 //
 // Times are those at which the laboratory sent or received a datagram. kCrossing allows for datagrams in flight.
-#ifndef CROFTRUN_LAB_RULES_H_
-#define CROFTRUN_LAB_RULES_H_
+#ifndef CROFTRUN_LAB_RULE_CHECKER_H_
+#define CROFTRUN_LAB_RULE_CHECKER_H_
 
 #include <array>
 #include <cstdint>
@@ -42,15 +42,15 @@
   static constexpr TimeUs kCrossing = 20'000;
 
   // Processes one record. Records must come in order of time.
-  void Take(const TraceRecord& record);
+  void ProcessRecord(const TraceRecord& record);
   // To be called after the last record: reports the calls that are overdue for a final answer.
   void Finish();
 
   const RuleFinding& Finding(Rule rule) const { return findings_[static_cast<std::size_t>(rule)]; }
   // True if the trace names an edge and no rule was broken.
   bool Kept() const;
-  std::uint64_t calls_taken() const { return accepted_calls_; }
-  std::uint64_t transit_taken() const { return transit_calls_; }
+  std::uint64_t accepted_calls() const { return accepted_calls_; }
+  std::uint64_t accepted_transit_calls() const { return transit_calls_; }
   std::uint64_t fell_over() const { return fell_over_; }
   // Number of edges named in the trace. If it is zero, nothing could be checked.
   std::size_t edges() const { return edges_.size(); }
@@ -140,4 +140,4 @@
 
 }  // namespace croftrun::lab
 
-#endif  // CROFTRUN_LAB_RULES_H_
+#endif  // CROFTRUN_LAB_RULE_CHECKER_H_
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -84,7 +84,7 @@
   Time(t, "drift_ms", &s->drift_us);
   Value(t, "drift_cv", &s->drift_cv);
   Value(t, "redial_doubles", &s->redial_doubles);
-  Value(t, "heeds_pause", &s->heeds_pause);
+  Value(t, "heeds_pause", &s->retry_after_compliance);
 }
 
 Fault ReadFault(const json& f) {
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -77,7 +77,7 @@
   TimeUs drift_us = 0;
   double drift_cv = 0.0;
   bool redial_doubles = false;
-  double heeds_pause = 1.0;
+  double retry_after_compliance = 1.0;
   std::vector<Fault> faults;
   // If set, every edge exports flow records to the collector at its gateway's host, with a spool in this folder.
   std::string flow_folder;
--- a/src/lab/trace.cpp
+++ b/src/lab/trace.cpp
@@ -70,7 +70,7 @@
   if (record_handler_) record_handler_(record);
 }
 
-void Trace::Fact(std::string name, nlohmann::json figures) {
+void Trace::RecordFact(std::string name, nlohmann::json figures) {
   TraceRecord record;
   record.at_us = runtime_->Now();
   record.fact = std::move(name);
@@ -78,7 +78,7 @@
   WriteRecord(record);
 }
 
-void Trace::Datagram(const core::Address& from, const core::Address& to, std::string_view bytes) {
+void Trace::RecordDatagram(const core::Address& from, const core::Address& to, std::string_view bytes) {
   ++datagrams_;
   TraceRecord record;
   record.at_us = runtime_->Now();
--- a/src/lab/trace.h
+++ b/src/lab/trace.h
@@ -50,14 +50,14 @@
   void OpenTraceFile(const std::string& path);
   void OpenCaptureFile(const std::string& path);
   // Sets a handler that also receives every record.
-  void SetSink(std::function<void(const TraceRecord&)> handler) { record_handler_ = std::move(handler); }
+  void SetRecordHandler(std::function<void(const TraceRecord&)> handler) { record_handler_ = std::move(handler); }
 
   // Makes the records written so far visible to other readers of the file.
   void Flush() {
     if (file_ != nullptr) std::fflush(file_);
   }
-  void Datagram(const core::Address& from, const core::Address& to, std::string_view bytes);
-  void Fact(std::string name, nlohmann::json figures);
+  void RecordDatagram(const core::Address& from, const core::Address& to, std::string_view bytes);
+  void RecordFact(std::string name, nlohmann::json figures);
   std::uint64_t datagrams() const { return datagrams_; }
 
  private:
--- a/src/lab/virtual_day.h
+++ b/src/lab/virtual_day.h
@@ -13,7 +13,7 @@
 
 #include "edge/edge_node.h"
 #include "lab/day.h"
-#include "lab/rules.h"
+#include "lab/rule_checker.h"
 #include "sim/stallable_runtime.h"
 #include "sim/virtual_runtime.h"
 
@@ -80,8 +80,8 @@
         trace(&runtime),
         edges(&runtime, &log, std::move(decider)),
         day(scenario, &runtime, &trace, &edges, "") {
-    trace.SetSink([this](const TraceRecord& record) {
-      rules.Take(record);
+    trace.SetRecordHandler([this](const TraceRecord& record) {
+      rules.ProcessRecord(record);
       if (also) also(record);
     });
     day.Begin([this] { over = true; });
--- a/src/mgcp/peers.h
+++ b/src/mgcp/peers.h
@@ -1,7 +1,7 @@
 // Limits on what a peer may cost this call agent. Decisions only: no I/O and no clock.
 //
 // PeerFilter tells configured gateways from unknown hosts and limits the rate of responses to unknown hosts.
-// HistoryRoom divides the capacity of the response history among the gateways, so that a gateway that floods uses
+// HistoryQuota divides the capacity of the response history among the gateways, so that a gateway that floods uses
 // no capacity of another one. A part of each share is reserved for endpoints with a call in progress, so that a
 // flood with a gateway's forged source address leaves capacity for those calls.
 #ifndef CROFTRUN_MGCP_PEERS_H_
@@ -18,7 +18,7 @@
 namespace croftrun::mgcp {
 
 // Datagrams from unknown hosts.
-struct StrangerCounters {
+struct UnknownHostCounters {
   std::uint64_t commands = 0, responses = 0, malformed = 0;  // classified by their first octet only
   std::uint64_t answered = 0;                                // commands that received an error response
 };
@@ -58,42 +58,42 @@
 
 // Divides the capacity of the response history equally among hosts. A quarter of each host's share is reserved for
 // endpoints with a call in progress.
-class HistoryRoom {
+class HistoryQuota {
  public:
-  // The capacity used by one response. Pass it to GiveBack to release it.
-  struct Place {
+  // The capacity used by one response. Pass it to Release to release it.
+  struct Reservation {
     std::uint32_t host = 0;
     std::uint64_t endpoint = 0;  // 0: not taken from the reserved part
   };
   // Limit of responses for one endpoint in the reserved part. The events of a call need only a few.
-  static constexpr std::size_t kMostForEndpoint = 16;
+  static constexpr std::size_t kMaxPerEndpoint = 16;
 
-  HistoryRoom(std::size_t capacity, std::size_t hosts)
+  HistoryQuota(std::size_t capacity, std::size_t hosts)
       : capacity_per_host_(capacity / hosts), unreserved_per_host_(capacity_per_host_ - capacity_per_host_ / 4) {}
 
   // Reserves capacity for a response to `host`. `endpoint` is a hash of the endpoint if a call is in progress there,
   // otherwise 0. Returns false if no capacity is left.
-  bool Take(std::uint32_t host, std::uint64_t endpoint, Place* place) {
+  bool TryReserve(std::uint32_t host, std::uint64_t endpoint, Reservation* reservation) {
     std::size_t& used_by_host = used_by_host_[host];
     if (used_by_host < unreserved_per_host_) {
       ++used_by_host;
-      *place = {host, 0};
+      *reservation = {host, 0};
       return true;
     }
     if (used_by_host >= capacity_per_host_ || endpoint == 0) return false;
     std::size_t& used_by_endpoint = used_by_endpoint_[endpoint];
-    if (used_by_endpoint >= kMostForEndpoint) return false;
+    if (used_by_endpoint >= kMaxPerEndpoint) return false;
     ++used_by_endpoint;
     ++used_by_host;
-    *place = {host, endpoint};
+    *reservation = {host, endpoint};
     return true;
   }
-  // Releases capacity reserved by Take.
-  void GiveBack(const Place& place) {
-    const auto host = used_by_host_.find(place.host);
+  // Releases capacity reserved by TryReserve.
+  void Release(const Reservation& reservation) {
+    const auto host = used_by_host_.find(reservation.host);
     if (host != used_by_host_.end() && --host->second == 0) used_by_host_.erase(host);
-    if (place.endpoint == 0) return;
-    const auto endpoint = used_by_endpoint_.find(place.endpoint);
+    if (reservation.endpoint == 0) return;
+    const auto endpoint = used_by_endpoint_.find(reservation.endpoint);
     if (endpoint != used_by_endpoint_.end() && --endpoint->second == 0) used_by_endpoint_.erase(endpoint);
   }
 
--- a/src/mgcp/transactions.cpp
+++ b/src/mgcp/transactions.cpp
@@ -26,7 +26,7 @@
       // A restarted call agent must not reuse its earlier transaction identifiers within T-HIST (RFC 3435 3.2.1.2), so
       // the first one is random.
       next_transaction_(static_cast<std::uint32_t>(runtime->Random() % kMaxTransactionId) + 1),
-      history_quota_(settings.most_history, 1),
+      history_quota_(settings.max_history, 1),
       port_(runtime->OpenPort(local, this)) {}
 
 Transactions::~Transactions() {
@@ -35,7 +35,7 @@
 
 void Transactions::SetKnownHosts(std::vector<std::uint32_t> hosts, std::function<bool(const Message&)> in_use) {
   peer_filter_.SetKnownHosts(std::move(hosts));
-  history_quota_ = HistoryRoom(settings_.most_history, peer_filter_.host_count());
+  history_quota_ = HistoryQuota(settings_.max_history, peer_filter_.host_count());
   in_use_ = std::move(in_use);
 }
 
@@ -76,9 +76,9 @@
 
 TimeUs Transactions::TimeoutFor(const Address& to) const {
   const auto found = peers_.find(to);
-  if (found == peers_.end() || found->second.mean_us <= 0.0) return settings_.first_timeout_us;
+  if (found == peers_.end() || found->second.mean_us <= 0.0) return settings_.initial_timeout_us;
   const double timeout = found->second.mean_us + 4.0 * found->second.deviation_us;
-  return std::clamp(static_cast<TimeUs>(timeout), settings_.min_timeout_us, settings_.longest_timeout_us);
+  return std::clamp(static_cast<TimeUs>(timeout), settings_.min_timeout_us, settings_.max_timeout_us);
 }
 
 void Transactions::SendOrCollect(const Address& to, std::string_view text) {
@@ -103,9 +103,9 @@
 }
 
 std::uint32_t Transactions::Send(const Address& to, OutgoingCommand command) {
-  if (pending_.size() >= settings_.most_pending) {
+  if (pending_.size() >= settings_.max_pending) {
     ++counters_.refused_full;
-    if (command.on_result) command.on_result({Ending::kTooManyPending, nullptr, to});
+    if (command.on_result) command.on_result({TransactionOutcome::kTooManyPending, nullptr, to});
     return 0;
   }
   do {
@@ -141,7 +141,7 @@
   return transaction;
 }
 
-void Transactions::StopRepeating(std::uint32_t transaction) {
+void Transactions::StopRetransmitting(std::uint32_t transaction) {
   const auto found = pending_.find(transaction);
   if (found != pending_.end()) found->second.retransmission_stopped = true;
 }
@@ -164,14 +164,14 @@
   pending.timer = core::kNoTimer;
   if (runtime_->Now() - pending.first_sent >= settings_.give_up_us) {
     ++counters_.given_up;
-    return CompleteTransaction(transaction, Ending::kNoAnswer, nullptr);
+    return CompleteTransaction(transaction, TransactionOutcome::kNoResponse, nullptr);
   }
   // The queue has grown since the timer was started.
   if (runtime_->QueueDelay() > pending.queue_allowance + pending.timeout / 2) {
     ++counters_.postponed;
     return StartRetransmissionTimer(transaction, pending);
   }
-  pending.timeout = std::min(pending.timeout * 2, settings_.longest_timeout_us);
+  pending.timeout = std::min(pending.timeout * 2, settings_.max_timeout_us);
   if (!pending.retransmission_stopped) {
     pending.retransmitted = true;
     ++counters_.repeated;
@@ -180,14 +180,14 @@
   StartRetransmissionTimer(transaction, pending);
 }
 
-void Transactions::CompleteTransaction(std::uint32_t transaction, Ending ending, const Message* message) {
+void Transactions::CompleteTransaction(std::uint32_t transaction, TransactionOutcome outcome, const Message* message) {
   const auto found = pending_.find(transaction);
   if (found == pending_.end()) return;
   runtime_->CancelTimer(found->second.timer);
-  const OnAnswer on_result = std::move(found->second.on_result);
+  const ResultHandler on_result = std::move(found->second.on_result);
   const Address peer = found->second.to;
   pending_.erase(found);  // before the callback, which may send commands and may be the last use of this transaction
-  if (on_result) on_result({ending, message, peer});
+  if (on_result) on_result({outcome, message, peer});
 }
 
 void Transactions::OnDatagram(const Address& from, std::string_view bytes) {
@@ -223,7 +223,7 @@
   Pending& pending = found->second;
   if (message.code < 200) {
     pending.provisional = true;
-    pending.timeout = settings_.longest_timeout_us;
+    pending.timeout = settings_.max_timeout_us;
     runtime_->CancelTimer(pending.timer);
     StartRetransmissionTimer(message.transaction, pending);
     return;
@@ -251,7 +251,7 @@
   } else if (peer.to_acknowledge.size() < 4 * kMaxAcknowledgements) {
     peer.to_acknowledge.push_back(message.transaction);
   }
-  CompleteTransaction(message.transaction, Ending::kFinalResponse, &message);
+  CompleteTransaction(message.transaction, TransactionOutcome::kFinalResponse, &message);
 }
 
 void Transactions::HandleCommand(const Address& from, const Message& message) {
@@ -273,10 +273,10 @@
     ++counters_.received_again;
     return;
   }
-  HistoryRoom::Place reservation;
+  HistoryQuota::Reservation reservation;
   const bool in_use = in_use_ && in_use_(message);
-  if (!history_quota_.Take(from.host, in_use ? std::hash<std::string_view>{}(message.endpoint.local) | 1U : 0U,
-                           &reservation)) {
+  if (!history_quota_.TryReserve(from.host, in_use ? std::hash<std::string_view>{}(message.endpoint.local) | 1U : 0U,
+                                 &reservation)) {
     // If the response cannot be kept, a retransmission would be executed a second time. So the command is rejected.
     ++counters_.refused_full;
     std::string text;
@@ -319,7 +319,7 @@
 }
 
 void Transactions::RemoveFromHistory(History::iterator received) {
-  history_quota_.GiveBack(received->second.reservation);
+  history_quota_.Release(received->second.reservation);
   history_.erase(received);
 }
 
@@ -346,7 +346,7 @@
     for (std::uint32_t id = first; id <= last && id - first < 1024; ++id) {
       const auto found = history_.find({from, id});
       if (found == history_.end() || found->second.response.empty()) continue;
-      if (acknowledged_range_count_ >= settings_.most_history) continue;  // the response stays until it expires
+      if (acknowledged_range_count_ >= settings_.max_history) continue;  // the response stays until it expires
       RemoveFromHistory(found);
       RecordAcknowledged(from, id);
     }
--- a/src/mgcp/transactions.h
+++ b/src/mgcp/transactions.h
@@ -27,23 +27,23 @@
 
 // Times in microseconds. The defaults are those of RFC 3435 3.5.1 and 3.5.3 unless noted.
 struct TransactionSettings {
-  TimeUs first_timeout_us = 200'000;  // retransmission timer until a round trip to the peer has been measured
-  TimeUs min_timeout_us = 20'000;     // of the adaptive timer; not from the RFC (loopback responds well within 1 ms)
-  TimeUs longest_timeout_us = 4'000'000;  // of the adaptive timer
-  TimeUs give_up_us = 20'000'000;         // T-MAX: a command without a response fails after this time
-  TimeUs history_us = 30'000'000;         // T-HIST: how long responses are kept for retransmitted commands
-  std::size_t most_pending = 65'536;      // sent commands without a final response
-  std::size_t most_history = 262'144;     // responses kept; beyond that, new commands are rejected with 409
-  std::size_t max_peers = 4'096;          // round-trip estimates kept
+  TimeUs initial_timeout_us = 200'000;  // retransmission timer until a round trip to the peer has been measured
+  TimeUs min_timeout_us = 20'000;       // of the adaptive timer; not from the RFC (loopback responds well within 1 ms)
+  TimeUs max_timeout_us = 4'000'000;    // of the adaptive timer
+  TimeUs give_up_us = 20'000'000;       // T-MAX: a command without a response fails after this time
+  TimeUs history_us = 30'000'000;       // T-HIST: how long responses are kept for retransmitted commands
+  std::size_t max_pending = 65'536;     // sent commands without a final response
+  std::size_t max_history = 262'144;    // responses kept; beyond that, new commands are rejected with 409
+  std::size_t max_peers = 4'096;        // round-trip estimates kept
 };
 
 // How the transaction of a sent command ended: with a final response, without one within T-MAX, or not sent because too
 // many commands are pending.
-enum class Ending : std::uint8_t { kFinalResponse, kNoAnswer, kTooManyPending };
-// The result of a sent command. `message` is the final response if `ending` is kFinalResponse, and is valid only during
-// the callback.
-struct Answered {
-  Ending ending = Ending::kNoAnswer;
+enum class TransactionOutcome : std::uint8_t { kFinalResponse, kNoResponse, kTooManyPending };
+// The result of a sent command. `message` is the final response if `outcome` is kFinalResponse, and is valid only
+// during the callback.
+struct TransactionResult {
+  TransactionOutcome outcome = TransactionOutcome::kNoResponse;
   const Message* message = nullptr;
   Address peer;
   int code() const { return message == nullptr ? -1 : message->code; }
@@ -60,13 +60,13 @@
 // Sends and receives MGCP messages on one UDP port.
 class Transactions : public core::DatagramHandler {
  public:
-  using OnAnswer = std::function<void(const Answered&)>;
+  using ResultHandler = std::function<void(const TransactionResult&)>;
   // A command to send.
   struct OutgoingCommand {
     Verb verb = Verb::kNtfy;
     std::string endpoint;
     std::string body;  // everything after the command line
-    OnAnswer on_result;
+    ResultHandler on_result;
   };
   // Handle of a received command, for responding now or later. 0 means none.
   using CommandId = std::uint64_t;
@@ -101,8 +101,8 @@
     Transactions* transactions_;
   };
   // Stops retransmitting a command that no longer matters but may have been executed. The callback still receives a
-  // late response, or kNoAnswer once T-MAX has passed.
-  void StopRepeating(std::uint32_t transaction);
+  // late response, or kNoResponse once T-MAX has passed.
+  void StopRetransmitting(std::uint32_t transaction);
 
   // Sends the final response to a command; `body` as in OutgoingCommand. A second response to the same command is
   // ignored.
@@ -118,7 +118,7 @@
   bool ShouldReceive(const Address& from, std::string_view bytes) override;
 
   const TransactionCounters& counters() const { return counters_; }
-  const StrangerCounters& strangers() const { return unknown_hosts_; }
+  const UnknownHostCounters& unknown_hosts() const { return unknown_hosts_; }
   std::size_t pending() const { return pending_.size(); }
   std::size_t history() const { return history_.size(); }
   Address Local() const { return port_->Local(); }
@@ -128,7 +128,7 @@
   struct Pending {
     Address to;
     std::string text;
-    OnAnswer on_result;
+    ResultHandler on_result;
     TimeUs first_sent = 0;
     TimeUs timeout = 0;
     TimeUs queue_allowance = 0;  // part of the running timer that allows for the delay of the local event queue
@@ -156,7 +156,7 @@
     CommandId id = 0;
     std::string response;      // empty until the final response has been sent
     bool provisional = false;  // a provisional response has been sent
-    HistoryRoom::Place reservation;
+    HistoryQuota::Reservation reservation;
   };
   using History = std::unordered_map<Key, Received, KeyHash>;
   void RemoveFromHistory(History::iterator received);
@@ -172,7 +172,7 @@
   TimeUs TimeoutFor(const Address& to) const;
   void StartRetransmissionTimer(std::uint32_t transaction, Pending& pending);
   void OnRetransmissionTimer(std::uint32_t transaction);
-  void CompleteTransaction(std::uint32_t transaction, Ending ending, const Message* message);
+  void CompleteTransaction(std::uint32_t transaction, TransactionOutcome outcome, const Message* message);
   void HandleResponse(const Address& from, const Message& message);
   void HandleCommand(const Address& from, const Message& message);
   void HandleMalformed(const Address& from, const ParseError& error);
@@ -193,9 +193,9 @@
   std::map<Address, Peer> peers_;
   History history_;
   PeerFilter peer_filter_;
-  HistoryRoom history_quota_;
+  HistoryQuota history_quota_;
   std::function<bool(const Message&)> in_use_;
-  StrangerCounters unknown_hosts_;
+  UnknownHostCounters unknown_hosts_;
   std::unordered_map<CommandId, Key> awaiting_response_;  // received commands without a final response
   struct HistoryEntry {
     TimeUs responded_at = 0;
--- a/src/reach/account.cpp
+++ b/src/reach/account.cpp
@@ -15,74 +15,80 @@
 
 }  // namespace
 
-std::string_view Name(Lost lost) {
-  constexpr std::array<std::string_view, kLost> kNames = {"no circuit anywhere",
-                                                          "free, not tried",
-                                                          "not tried, unwell end",
-                                                          "late redial, not tried",
-                                                          "glare",
-                                                          "stuck circuit",
-                                                          "turned back",
-                                                          "cold exchange",
-                                                          "dead exchange",
-                                                          "slow or full exchange",
-                                                          "lines busy",
-                                                          "lost on the path",
-                                                          "own edge",
-                                                          "caller gone",
-                                                          "cut"};
+std::string_view Name(LossCategory lost) {
+  constexpr std::array<std::string_view, kLossCategories> kNames = {"no circuit anywhere",
+                                                                    "free, not tried",
+                                                                    "not tried, unwell end",
+                                                                    "late redial, not tried",
+                                                                    "glare",
+                                                                    "stuck circuit",
+                                                                    "turned back",
+                                                                    "cold exchange",
+                                                                    "dead exchange",
+                                                                    "slow or full exchange",
+                                                                    "lines busy",
+                                                                    "lost on the path",
+                                                                    "own edge",
+                                                                    "caller gone",
+                                                                    "cut"};
   return kNames[static_cast<std::size_t>(lost)];
 }
 
 std::uint64_t Account::LostTotal() const { return std::accumulate(lost.begin(), lost.end(), std::uint64_t{0}); }
 
-Lost Ledger::Category(const TryEnd& t) {
-  if (t.how == "hung-up") return Lost::kCallAbandoned;
-  if (t.own_edge_down) return Lost::kOwnEdge;
-  if (t.how == "unanswered") return Lost::kPath;
+LossCategory Ledger::Category(const AttemptRecord& t) {
+  if (t.outcome == "hung-up") return LossCategory::kCallAbandoned;
+  if (t.own_edge_down) return LossCategory::kOwnEdge;
+  if (t.outcome == "unanswered") return LossCategory::kPath;
   if (!t.sent) {
-    if (!t.direct && t.tandems == 0) return Lost::kNoCircuit;
-    return t.late ? Lost::kLateRedial : t.healthy ? Lost::kNotTried : Lost::kNotTriedUnhealthy;
+    if (!t.direct && t.tandems == 0) return LossCategory::kNoCircuit;
+    return t.late_redial ? LossCategory::kLateRedial
+           : t.healthy   ? LossCategory::kNotTried
+                         : LossCategory::kNotTriedUnhealthy;
   }
-  const auto state = [&](Lost otherwise) {
-    return t.dead ? Lost::kExchangeDown : t.cold ? Lost::kWarmingUp : t.slow ? Lost::kExchangeOverloaded : otherwise;
+  const auto state = [&](LossCategory otherwise) {
+    return t.down         ? LossCategory::kExchangeDown
+           : t.warming_up ? LossCategory::kWarmingUp
+           : t.slow       ? LossCategory::kExchangeOverloaded
+                          : otherwise;
   };
-  switch (t.end) {
-    case SetUpEnd::kOwnDown:
-      return Lost::kOwnEdge;
-    case SetUpEnd::kOwnRefused:
-      return Lost::kStuckCircuit;
-    case SetUpEnd::kReleased:
-      if (t.cause == 44) return Lost::kGlare;
-      if (t.cause == 47) return Lost::kStuckCircuit;
-      if (t.cause == 17) return Lost::kLinesBusy;
-      if (t.cause == 27) return Lost::kExchangeDown;
-      if (t.cause == 34) return t.direct || t.tandems > 0 ? Lost::kCrankback : Lost::kNoCircuit;
-      if (t.cause == 42) return state(Lost::kExchangeOverloaded);
-      return state(Lost::kExchangeDown);
+  switch (t.set_up_outcome) {
+    case SetUpOutcome::kOwnDown:
+      return LossCategory::kOwnEdge;
+    case SetUpOutcome::kOwnRefused:
+      return LossCategory::kStuckCircuit;
+    case SetUpOutcome::kReleased:
+      if (t.cause == 44) return LossCategory::kGlare;
+      if (t.cause == 47) return LossCategory::kStuckCircuit;
+      if (t.cause == 17) return LossCategory::kLinesBusy;
+      if (t.cause == 27) return LossCategory::kExchangeDown;
+      if (t.cause == 34) return t.direct || t.tandems > 0 ? LossCategory::kCrankback : LossCategory::kNoCircuit;
+      if (t.cause == 42) return state(LossCategory::kExchangeOverloaded);
+      return state(LossCategory::kExchangeDown);
     default:
       // Cancelled or still pending: attributed to the state of the exchange that the set-up was sent to.
-      return state(Lost::kPath);
+      return state(LossCategory::kPath);
   }
 }
 
-void Ledger::OnTry(TimeUs at, const TryEnd& t) {
+void Ledger::RecordAttempt(TimeUs at, const AttemptRecord& t) {
   Account& account = accounts_[static_cast<std::size_t>(t.call_class)];
-  if (t.how == "cut" || t.how == "cut-late") {
-    --(t.how == "cut" ? account.in_time : account.late);  // counted there when the call was established
-    ++account.lost[static_cast<std::size_t>(Lost::kTerminated)];
+  if (t.outcome == "cut" || t.outcome == "cut-late") {
+    --(t.outcome == "cut" ? account.in_time : account.late);  // counted there when the call was established
+    ++account.lost[static_cast<std::size_t>(LossCategory::kTerminated)];
     return;
   }
   ++account.tries;
-  if (t.how == "stands") {
+  if (t.outcome == "stands") {
     ++account.in_time;
-  } else if (t.how == "stands-late") {
+  } else if (t.outcome == "stands-late") {
     ++account.late;
   } else {
     ++account.lost[static_cast<std::size_t>(Category(t))];
   }
   // The call was refused without a set-up although the direct group was free and both exchanges were healthy.
-  const bool wasted = (t.how == "refused" || t.how == "failed") && !t.sent && !t.late && t.direct && t.healthy;
+  const bool wasted =
+      (t.outcome == "refused" || t.outcome == "failed") && !t.sent && !t.late_redial && t.direct && t.healthy;
   RefusedCalls& idle = idle_groups_[{t.from, t.to}];
   RefusedCalls& avoided = avoided_exchanges_[t.to];
   if (!t.direct || !t.healthy) {
@@ -109,12 +115,12 @@
   }
 }
 
-void Ledger::OnSetUp(TimeUs, int from, int to, int destination) {
+void Ledger::RecordSetUp(TimeUs, int from, int to, int destination) {
   if (to == destination) idle_groups_[{from, to}] = {};
   avoided_exchanges_[to] = {};
 }
 
-void Ledger::OnCircuitRefused(TimeUs at, int from, const std::string& circuit) {
+void Ledger::RecordCircuitRefusal(TimeUs at, int from, const std::string& circuit) {
   ++refusals_;
   RefusalRun& run = refusal_runs_[{from, circuit}];
   run.close = run.close > 0 && at - run.last < limits_.max_refusal_gap_us ? run.close + 1 : 1;
@@ -125,10 +131,10 @@
                         std::to_string(run.close) + " times in a row");
 }
 
-void Ledger::OnCircuitUsed(int from, const std::string& circuit) { refusal_runs_.erase({from, circuit}); }
+void Ledger::RecordCircuitUse(int from, const std::string& circuit) { refusal_runs_.erase({from, circuit}); }
 
 void Ledger::RecordWaste(TimeUs at, const std::string& description) {
-  ++wasted_;
+  ++waste_count_;
   if (examples_.size() < kMaxExamples) examples_.push_back(Seconds(at) + ": " + description);
 }
 
@@ -138,7 +144,7 @@
     total.tries += account.tries;
     total.in_time += account.in_time;
     total.late += account.late;
-    for (std::size_t i = 0; i < kLost; ++i) total.lost[i] += account.lost[i];
+    for (std::size_t i = 0; i < kLossCategories; ++i) total.lost[i] += account.lost[i];
   }
   return total;
 }
--- a/src/reach/account.h
+++ b/src/reach/account.h
@@ -18,7 +18,7 @@
 namespace croftrun::reach {
 
 // The loss category of a call attempt: why it was not served.
-enum class Lost : std::uint8_t {
+enum class LossCategory : std::uint8_t {
   kNoCircuit,           // no route had a free circuit when the attempt ended
   kNotTried,            // a route had one, but no set-up was sent, by decision (admission, budget, back-off)
   kNotTriedUnhealthy,   // as kNotTried, with an unhealthy exchange at either end (down, cold, slow, hung, leaving)
@@ -35,39 +35,40 @@
   kCallAbandoned,       // the caller hung up before the answer
   kTerminated,          // the call was established and then terminated
 };
-inline constexpr std::size_t kLost = 15;
+inline constexpr std::size_t kLossCategories = 15;
 // The name of the category in reports.
-std::string_view Name(Lost lost);
+std::string_view Name(LossCategory lost);
 
-// How a set-up ended, as seen on the wire; kOut means that it has not ended. kReleased has a cause value (ITU-T Q.850).
-enum class SetUpEnd : std::uint8_t { kOut, kAnswered, kReleased, kGivenUp, kOwnRefused, kOwnDown };
+// How a set-up ended, as seen on the wire; kPending means that it has not ended. kReleased has a cause value (ITU-T
+// Q.850).
+enum class SetUpOutcome : std::uint8_t { kPending, kAnswered, kReleased, kCancelled, kOwnRefused, kOwnDown };
 
 // The end of a call attempt, with the state of the network at that moment.
-struct TryEnd {
+struct AttemptRecord {
   int from = -1, to = -1;  // exchanges
   int call_class = 0;
   // "stands", "stands-late", "refused", "failed", "unanswered" or "hung-up". "cut" and "cut-late" are reported later,
   // for an attempt that was reported as "stands" or "stands-late" before.
-  std::string_view how;
+  std::string_view outcome;
   bool direct = false;   // the direct group had a circuit that was free at both ends
   int tandems = 0;       // routes over one tandem with a free circuit on both groups
   bool healthy = false;  // both exchanges up, warm and listed, their queueing delays under a quarter of the maximum
   bool own_edge_down = false;
-  bool late = false;  // a redial made when most of the time for an answer in time had passed
+  bool late_redial = false;  // a redial made when most of the time for an answer in time had passed
   // The last set-up of the attempt. If `sent` is false, none was sent.
   bool sent = false;
-  SetUpEnd end = SetUpEnd::kOut;
+  SetUpOutcome set_up_outcome = SetUpOutcome::kPending;
   int cause = 0;
-  bool cold = false, dead = false, slow = false;  // state of the exchange it was sent to when the set-up ended
+  bool warming_up = false, down = false, slow = false;  // state of the exchange it was sent to when the set-up ended
 };
 
 // Attempts by result.
 struct Account {
   std::uint64_t tries = 0, in_time = 0, late = 0;
-  std::array<std::uint64_t, kLost> lost = {};
+  std::array<std::uint64_t, kLossCategories> lost = {};
   std::uint64_t LostTotal() const;
   // Whether every attempt is counted exactly once.
-  bool Exact() const { return in_time + late + LostTotal() == tries; }
+  bool IsBalanced() const { return in_time + late + LostTotal() == tries; }
 };
 
 // Limits beyond which unused or misused resources count as waste; a day with waste fails.
@@ -91,21 +92,21 @@
   static constexpr std::size_t kMaxExamples = 10;
   explicit Ledger(std::size_t classes, const WasteLimits& limits = {}) : limits_(limits), accounts_(classes) {}
 
-  void OnTry(TimeUs at, const TryEnd& end);
+  void RecordAttempt(TimeUs at, const AttemptRecord& attempt);
   // A set-up for a call to `destination` was sent from `from` to `to`, the exchange at the far end of the circuit.
-  void OnSetUp(TimeUs at, int from, int to, int destination);
+  void RecordSetUp(TimeUs at, int from, int to, int destination);
   // A seizure of this circuit was refused because of the circuit's state (glare, out of service), or the circuit was
   // used successfully.
-  void OnCircuitRefused(TimeUs at, int from, const std::string& circuit);
-  void OnCircuitUsed(int from, const std::string& circuit);
+  void RecordCircuitRefusal(TimeUs at, int from, const std::string& circuit);
+  void RecordCircuitUse(int from, const std::string& circuit);
 
   const std::vector<Account>& accounts() const { return accounts_; }
   Account Total() const;
   // The largest number of consecutive refusals of one circuit, regardless of the time between them.
-  unsigned most_running() const { return max_consecutive_refusals_; }
+  unsigned max_consecutive_refusals() const { return max_consecutive_refusals_; }
   std::uint64_t refusals() const { return refusals_; }
   // The number of cases of waste, and a description with place and time of the first kMaxExamples of them.
-  std::uint64_t wasted() const { return wasted_; }
+  std::uint64_t waste_count() const { return waste_count_; }
   const std::vector<std::string>& examples() const { return examples_; }
 
  private:
@@ -122,7 +123,7 @@
   };
   void RecordWaste(TimeUs at, const std::string& description);
   // The loss category of an attempt that was not served.
-  static Lost Category(const TryEnd& end);
+  static LossCategory Category(const AttemptRecord& attempt);
 
   WasteLimits limits_;
   std::vector<Account> accounts_;
@@ -130,7 +131,7 @@
   std::map<std::pair<int, int>, RefusedCalls> idle_groups_;         // by from and to
   std::map<int, RefusedCalls> avoided_exchanges_;                   // by to
   unsigned max_consecutive_refusals_ = 0;
-  std::uint64_t refusals_ = 0, wasted_ = 0;
+  std::uint64_t refusals_ = 0, waste_count_ = 0;
   std::vector<std::string> examples_;
 };
 
--- a/src/reach/bound.cpp
+++ b/src/reach/bound.cpp
@@ -74,8 +74,8 @@
       const double worth = std::fabs(dual[r]) * upper_[r] / 100.0;
       const RowKind kind = kinds_[r];
       if (kind == RowKind::kGroup || kind == RowKind::kExchange || kind == RowKind::kNetwork)
-        bound.for_circuits += worth;
-      if (kind == RowKind::kProcessor || kind == RowKind::kProcessors) bound.for_processors += worth;
+        bound.worth_of_one_percent_circuits += worth;
+      if (kind == RowKind::kProcessor || kind == RowKind::kProcessors) bound.worth_of_one_percent_processing += worth;
     }
     return bound;
   }
@@ -87,7 +87,8 @@
   // The number of intervals in which calls of this demand can be answered, from the one of their offer on.
   std::size_t AnswerIntervals(const Demand& d) const {
     const ClassOfCall& c = p_.classes[d.call_class];
-    return std::min(p_.intervals - std::min(p_.intervals, d.interval), std::max(c.in_time, c.late) + 1);
+    return std::min(p_.intervals - std::min(p_.intervals, d.interval),
+                    std::max(c.in_time_intervals, c.late_intervals) + 1);
   }
 
   // The index of this row, which is added if it does not exist yet. `item` is a group or an exchange, by `kind`.
@@ -108,10 +109,10 @@
     upper_.push_back(d.calls);
     kinds_.push_back(RowKind::kDemand);
     for (std::size_t late = 0; late < AnswerIntervals(d); ++late) {
-      const double worth = c.worth * (late <= c.in_time ? 1.0 : c.late_worth);
+      const double worth = c.worth * (late <= c.in_time_intervals ? 1.0 : c.late_worth);
       if (worth <= 0.0) continue;
       const std::size_t at = d.interval + late;
-      const int in_time = late <= c.in_time ? static_cast<int>(d.call_class) : -1;
+      const int in_time = late <= c.in_time_intervals ? static_cast<int>(d.call_class) : -1;
       if (group_of_.count(Pair(d.from, d.to)) > 0) {
         BeginColumn(worth, in_time, demand);
         AddCircuitUse(d, c, at, {{d.from, d.to}}, 1.0);
@@ -151,16 +152,16 @@
   // its route. `group_count` is their number; it includes groups that are not listed as tandems are not distinguished.
   void AddCircuitUse(const Demand& d, const ClassOfCall& c, std::size_t at,
                      const std::vector<std::pair<std::size_t, std::size_t>>& groups, double group_count) {
-    for (std::size_t k = 0; k < c.keeps.size() && at + k < p_.intervals; ++k) {
+    for (std::size_t k = 0; k < c.occupancy.size() && at + k < p_.intervals; ++k) {
       const std::size_t interval = at + k;
-      const double circuits = c.keeps[k] * c.width;
+      const double circuits = c.occupancy[k] * c.width;
       if (circuits < 1e-6) break;
       for (const auto& [a, b] : groups) {
         const std::size_t g = group_of_.at(Pair(a, b));
         AddCoefficient(FindOrAddRow(RowKind::kGroup, g, interval, p_.groups[g].circuits[interval]), circuits);
       }
       if (d.crowded && !p_.crowded_lines.empty())
-        AddCoefficient(FindOrAddRow(RowKind::kCrowded, 0, interval, p_.crowded_lines[interval]), c.keeps[k]);
+        AddCoefficient(FindOrAddRow(RowKind::kCrowded, 0, interval, p_.crowded_lines[interval]), c.occupancy[k]);
       if (by_tandem_) continue;
       for (const std::size_t end : {d.from, d.to})
         AddCoefficient(FindOrAddRow(RowKind::kExchange, end, interval, CircuitsAt(end, interval)), circuits);
@@ -170,11 +171,11 @@
 
   // Adds the processor work of a call answered in interval `at` to the column.
   void AddProcessorWork(std::size_t at, const Demand& d, const std::vector<std::size_t>& tandems) {
-    const std::vector<double>& leaves = p_.classes[d.call_class].leaves;
+    const std::vector<double>& releases = p_.classes[d.call_class].releases;
     const auto add = [&](std::size_t exchange, double work, double end) {
-      const std::size_t last = std::max<std::size_t>(1, end > 0.0 ? leaves.size() : 1);
+      const std::size_t last = std::max<std::size_t>(1, end > 0.0 ? releases.size() : 1);
       for (std::size_t k = 0; k < last && at + k < p_.intervals; ++k) {
-        const double sum = (k == 0 ? work : 0.0) + (k < leaves.size() ? end * leaves[k] : 0.0);
+        const double sum = (k == 0 ? work : 0.0) + (k < releases.size() ? end * releases[k] : 0.0);
         if (sum > 0.0)
           AddCoefficient(FindOrAddRow(RowKind::kProcessor, exchange, at + k, p_.processor[exchange][at + k]), sum);
       }
@@ -214,28 +215,28 @@
 
 Bound UpperBound(const Problem& problem) { return LinearProgram(problem).Solve(); }
 
-std::vector<double> Keeps(double mean_us, double interval_us, std::size_t intervals) {
+std::vector<double> ExponentialOccupancy(double mean_us, double interval_us, std::size_t intervals) {
   const double r = mean_us / interval_us, decay = std::exp(-1.0 / r);
-  std::vector<double> keeps;
+  std::vector<double> occupancy;
   for (std::size_t d = 0; d < intervals; ++d) {
     const double share = d == 0 ? r * (1.0 - r * (1.0 - decay))
                                 : r * r * (1.0 - decay) * (1.0 - decay) * std::pow(decay, static_cast<double>(d - 1));
     if (d > 0 && share < 0.002) break;
-    keeps.push_back(share);
+    occupancy.push_back(share);
   }
-  return keeps;
+  return occupancy;
 }
 
-std::vector<double> Leaves(double mean_us, double interval_us, std::size_t intervals) {
+std::vector<double> ExponentialReleases(double mean_us, double interval_us, std::size_t intervals) {
   const double r = mean_us / interval_us, decay = std::exp(-1.0 / r);
-  std::vector<double> leaves;
+  std::vector<double> releases;
   for (std::size_t d = 0; d < intervals; ++d) {
     const double share = d == 0 ? 1.0 - r * (1.0 - decay)
                                 : r * (1.0 - decay) * (1.0 - decay) * std::pow(decay, static_cast<double>(d - 1));
     if (d > 0 && share < 0.002) break;
-    leaves.push_back(share);
+    releases.push_back(share);
   }
-  return leaves;
+  return releases;
 }
 
 }  // namespace croftrun::reach
--- a/src/reach/bound.h
+++ b/src/reach/bound.h
@@ -20,12 +20,13 @@
 struct ClassOfCall {
   double worth = 1.0, late_worth = 0.0;  // late_worth: share of the worth if answered late
   double width = 1.0;                    // circuits that a call takes on each group
-  // keeps[d]: the mean share of the d-th interval after the one of the answer (d = 0) in which a call occupies its
+  // occupancy[d]: the mean share of the d-th interval after the one of the answer (d = 0) in which a call occupies its
   // circuits.
-  std::vector<double> keeps;
-  std::vector<double> leaves;  // leaves[d]: the share of calls that are released in that interval
-  std::size_t in_time = 1;     // a call may be answered in time up to this number of intervals after its offer ...
-  std::size_t late = 1;        // ... and late, before the caller gives up, up to this number
+  std::vector<double> occupancy;
+  std::vector<double> releases;  // releases[d]: the share of calls that are released in that interval
+  // A call may be answered in time up to this number of intervals after its offer ...
+  std::size_t in_time_intervals = 1;
+  std::size_t late_intervals = 1;  // ... and late, before the caller gives up, up to this number
 };
 
 // Calls of one class between two exchanges that are offered in one interval.
@@ -68,7 +69,7 @@
   bool by_tandem = false;      // whether the linear program distinguishes tandems
   std::vector<double> served;  // calls of each class answered in time in the optimal solution
   // Worth gained by 1% more circuits in all groups, or by 1% more capacity of all processors.
-  double for_circuits = 0.0, for_processors = 0.0;
+  double worth_of_one_percent_circuits = 0.0, worth_of_one_percent_processing = 0.0;
   std::size_t columns = 0, rows = 0;  // size of the linear program
   // The bound as a share of the offered worth.
   double Share() const { return offered > 0.0 ? worth / offered : 1.0; }
@@ -77,11 +78,11 @@
 // Computes the upper bound.
 Bound UpperBound(const Problem& problem);
 
-// ClassOfCall::keeps for exponentially distributed holding times with this mean, if answers are distributed evenly over
-// an interval.
-std::vector<double> Keeps(double mean_us, double interval_us, std::size_t intervals);
-// ClassOfCall::leaves for the same calls.
-std::vector<double> Leaves(double mean_us, double interval_us, std::size_t intervals);
+// ClassOfCall::occupancy for exponentially distributed holding times with this mean, if answers are distributed evenly
+// over an interval.
+std::vector<double> ExponentialOccupancy(double mean_us, double interval_us, std::size_t intervals);
+// ClassOfCall::releases for the same calls.
+std::vector<double> ExponentialReleases(double mean_us, double interval_us, std::size_t intervals);
 
 }  // namespace croftrun::reach
 
--- a/tests/circuit_state_mismatch_test.cpp
+++ b/tests/circuit_state_mismatch_test.cpp
@@ -195,9 +195,9 @@
   }
   runtime.RunFor(20 * kMs);
   EXPECT_EQ(node->transactions().history(), history);
-  EXPECT_EQ(node->transactions().strangers().commands, 2000U);
-  EXPECT_EQ(node->transactions().strangers().responses, 2000U);
-  EXPECT_EQ(node->transactions().strangers().malformed, 2000U);
+  EXPECT_EQ(node->transactions().unknown_hosts().commands, 2000U);
+  EXPECT_EQ(node->transactions().unknown_hosts().responses, 2000U);
+  EXPECT_EQ(node->transactions().unknown_hosts().malformed, 2000U);
   EXPECT_GE(unknown_host.received.size(), 1U);
   EXPECT_LE(unknown_host.received.size(), 21U);
   EXPECT_EQ(unknown_host.received[0].substr(0, 4), "500 ");
@@ -207,7 +207,7 @@
 }
 
 TEST_F(CallPath, FloodFromGatewayAddressLeavesHistoryForCalls) {
-  settings.transactions.most_history = 400;
+  settings.transactions.max_history = 400;
   StartEdge();
   Dial(1);
   const std::string circuit = LastSeized();
@@ -226,19 +226,19 @@
   EXPECT_EQ(node->core().open_calls(), 0U);
 }
 
-TEST(HistoryRoom, IsSharedByGatewayAndBoundedByEndpoint) {
-  mgcp::HistoryRoom room(800, 2);
-  mgcp::HistoryRoom::Place place;
-  std::vector<mgcp::HistoryRoom::Place> places;
-  while (room.Take(1, 0, &place)) places.push_back(place);
-  EXPECT_EQ(places.size(), 300U);        // three quarters of its half of the history
-  EXPECT_TRUE(room.Take(2, 0, &place));  // the other gateway has its own share
+TEST(HistoryQuota, IsSharedByGatewayAndBoundedByEndpoint) {
+  mgcp::HistoryQuota quota(800, 2);
+  mgcp::HistoryQuota::Reservation reservation;
+  std::vector<mgcp::HistoryQuota::Reservation> reservations;
+  while (quota.TryReserve(1, 0, &reservation)) reservations.push_back(reservation);
+  EXPECT_EQ(reservations.size(), 300U);               // three quarters of its half of the history
+  EXPECT_TRUE(quota.TryReserve(2, 0, &reservation));  // the other gateway has its own share
   std::size_t kept = 0;
-  while (room.Take(1, 77, &place)) ++kept;
-  EXPECT_EQ(kept, mgcp::HistoryRoom::kMostForEndpoint);
-  EXPECT_TRUE(room.Take(1, 78, &place));
-  for (const auto& each : places) room.GiveBack(each);
-  EXPECT_TRUE(room.Take(1, 0, &place));
+  while (quota.TryReserve(1, 77, &reservation)) ++kept;
+  EXPECT_EQ(kept, mgcp::HistoryQuota::kMaxPerEndpoint);
+  EXPECT_TRUE(quota.TryReserve(1, 78, &reservation));
+  for (const auto& each : reservations) quota.Release(each);
+  EXPECT_TRUE(quota.TryReserve(1, 0, &reservation));
 }
 
 }  // namespace
--- a/tests/day_test.cpp
+++ b/tests/day_test.cpp
@@ -76,7 +76,7 @@
   played.Play();
   ExpectRulesKept(played);
   ExpectAllCircuitsFree(played);
-  EXPECT_GT(played.rules.transit_taken(), 20U);
+  EXPECT_GT(played.rules.accepted_transit_calls(), 20U);
   EXPECT_GT(played.report.service, 0.95);
 }
 
--- a/tests/reach_test.cpp
+++ b/tests/reach_test.cpp
@@ -55,7 +55,7 @@
     const auto free_work_before = free_work_;
     bool fits = true;
     for (const auto& [a, b] : groups) {
-      for (std::size_t k = 0; k < c.keeps.size() && d.interval + k < p_.intervals; ++k)
+      for (std::size_t k = 0; k < c.occupancy.size() && d.interval + k < p_.intervals; ++k)
         fits = (free_circuits_[Group(a, b)][d.interval + k] -= c.width) >= 0.0 && fits;
     }
     const auto spend = [&](std::size_t exchange, double work) {
@@ -138,7 +138,7 @@
   const Bound bound = UpperBound(p);
   EXPECT_NEAR(bound.worth, 5.0 + 5.0 + 2.5, 1e-6);
   EXPECT_NEAR(bound.offered, 2.0 + 15.0, 1e-9);
-  EXPECT_GT(bound.for_circuits, 0.0);
+  EXPECT_GT(bound.worth_of_one_percent_circuits, 0.0);
   p.processor[1] = {0.0, 0.0, 0.0};
   EXPECT_NEAR(UpperBound(p).worth, 0.0, 1e-9);
 }
@@ -146,112 +146,118 @@
 TEST(Bound, OccupancySumsToHoldingTime) {
   for (const double mean : {1.0, 4.0, 12.0}) {
     double sum = 0.0;
-    for (const double share : Keeps(mean, 4.0, 200)) sum += share * 4.0;
+    for (const double share : ExponentialOccupancy(mean, 4.0, 200)) sum += share * 4.0;
     EXPECT_NEAR(sum, mean, 0.05 * mean);
   }
 }
 
 TEST(Ledger, AttributesEveryAttemptToOneLossCategory) {
   Ledger ledger(1);
-  const auto expect_loss = [&](std::string_view how, const std::function<void(TryEnd&)>& set, Lost expected) {
-    TryEnd t;
+  const auto expect_loss = [&](std::string_view how, const std::function<void(AttemptRecord&)>& set,
+                               LossCategory expected) {
+    AttemptRecord t;
     t.from = 0;
     t.to = 1;
-    t.how = how;
+    t.outcome = how;
     set(t);
     const std::uint64_t before = ledger.Total().lost[static_cast<std::size_t>(expected)];
-    ledger.OnTry(1, t);
+    ledger.RecordAttempt(1, t);
     EXPECT_EQ(ledger.Total().lost[static_cast<std::size_t>(expected)], before + 1) << Name(expected);
-    EXPECT_TRUE(ledger.Total().Exact());
+    EXPECT_TRUE(ledger.Total().IsBalanced());
   };
   const auto released = [](int cause) {
-    return [cause](TryEnd& t) {
+    return [cause](AttemptRecord& t) {
       t.sent = true;
-      t.end = SetUpEnd::kReleased;
+      t.set_up_outcome = SetUpOutcome::kReleased;
       t.cause = cause;
     };
   };
   expect_loss(
-      "refused", [](TryEnd&) {}, Lost::kNoCircuit);
+      "refused", [](AttemptRecord&) {}, LossCategory::kNoCircuit);
   expect_loss(
-      "refused", [](TryEnd& t) { t.direct = t.healthy = true; }, Lost::kNotTried);
+      "refused", [](AttemptRecord& t) { t.direct = t.healthy = true; }, LossCategory::kNotTried);
   expect_loss(
-      "refused", [](TryEnd& t) { t.tandems = 2, t.healthy = true; }, Lost::kNotTried);
+      "refused", [](AttemptRecord& t) { t.tandems = 2, t.healthy = true; }, LossCategory::kNotTried);
   expect_loss(
-      "refused", [](TryEnd& t) { t.direct = true; }, Lost::kNotTriedUnhealthy);
+      "refused", [](AttemptRecord& t) { t.direct = true; }, LossCategory::kNotTriedUnhealthy);
   expect_loss(
-      "refused", [](TryEnd& t) { t.direct = t.healthy = t.late = true; }, Lost::kLateRedial);
-  expect_loss("refused", released(44), Lost::kGlare);
-  expect_loss("refused", released(47), Lost::kStuckCircuit);
-  expect_loss("failed", released(17), Lost::kLinesBusy);
-  expect_loss("failed", released(27), Lost::kExchangeDown);
-  expect_loss("refused", released(34), Lost::kNoCircuit);
+      "refused", [](AttemptRecord& t) { t.direct = t.healthy = t.late_redial = true; }, LossCategory::kLateRedial);
+  expect_loss("refused", released(44), LossCategory::kGlare);
+  expect_loss("refused", released(47), LossCategory::kStuckCircuit);
+  expect_loss("failed", released(17), LossCategory::kLinesBusy);
+  expect_loss("failed", released(27), LossCategory::kExchangeDown);
+  expect_loss("refused", released(34), LossCategory::kNoCircuit);
   expect_loss(
-      "refused", [&](TryEnd& t) { released(34)(t), t.tandems = 1; }, Lost::kCrankback);
-  expect_loss("refused", released(42), Lost::kExchangeOverloaded);
+      "refused", [&](AttemptRecord& t) { released(34)(t), t.tandems = 1; }, LossCategory::kCrankback);
+  expect_loss("refused", released(42), LossCategory::kExchangeOverloaded);
   expect_loss(
-      "refused", [&](TryEnd& t) { released(42)(t), t.cold = true; }, Lost::kWarmingUp);
+      "refused", [&](AttemptRecord& t) { released(42)(t), t.warming_up = true; }, LossCategory::kWarmingUp);
   expect_loss(
-      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp, t.slow = true; }, Lost::kExchangeOverloaded);
+      "failed", [](AttemptRecord& t) { t.sent = true, t.set_up_outcome = SetUpOutcome::kCancelled, t.slow = true; },
+      LossCategory::kExchangeOverloaded);
   expect_loss(
-      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp, t.dead = true; }, Lost::kExchangeDown);
+      "failed", [](AttemptRecord& t) { t.sent = true, t.set_up_outcome = SetUpOutcome::kCancelled, t.down = true; },
+      LossCategory::kExchangeDown);
   expect_loss(
-      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kGivenUp; }, Lost::kPath);
+      "failed", [](AttemptRecord& t) { t.sent = true, t.set_up_outcome = SetUpOutcome::kCancelled; },
+      LossCategory::kPath);
   expect_loss(
-      "failed", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kOwnDown; }, Lost::kOwnEdge);
+      "failed", [](AttemptRecord& t) { t.sent = true, t.set_up_outcome = SetUpOutcome::kOwnDown; },
+      LossCategory::kOwnEdge);
   expect_loss(
-      "refused", [](TryEnd& t) { t.sent = true, t.end = SetUpEnd::kOwnRefused; }, Lost::kStuckCircuit);
+      "refused", [](AttemptRecord& t) { t.sent = true, t.set_up_outcome = SetUpOutcome::kOwnRefused; },
+      LossCategory::kStuckCircuit);
   expect_loss(
-      "unanswered", [](TryEnd&) {}, Lost::kPath);
+      "unanswered", [](AttemptRecord&) {}, LossCategory::kPath);
   expect_loss(
-      "unanswered", [](TryEnd& t) { t.own_edge_down = true; }, Lost::kOwnEdge);
+      "unanswered", [](AttemptRecord& t) { t.own_edge_down = true; }, LossCategory::kOwnEdge);
   expect_loss(
-      "hung-up", [](TryEnd&) {}, Lost::kCallAbandoned);
-  TryEnd established_late;
-  established_late.how = "stands-late";
-  ledger.OnTry(2, established_late);
+      "hung-up", [](AttemptRecord&) {}, LossCategory::kCallAbandoned);
+  AttemptRecord established_late;
+  established_late.outcome = "stands-late";
+  ledger.RecordAttempt(2, established_late);
   EXPECT_EQ(ledger.Total().late, 1U);
   expect_loss(
-      "cut-late", [](TryEnd&) {}, Lost::kTerminated);
+      "cut-late", [](AttemptRecord&) {}, LossCategory::kTerminated);
   EXPECT_EQ(ledger.Total().late, 0U);
 }
 
 TEST(Ledger, ReportsWasteForCircuitRefusedThreeTimesInARow) {
   Ledger ledger(1);
-  ledger.OnCircuitRefused(0, 0, "ds/1/0");
-  ledger.OnCircuitRefused(100'000, 0, "ds/1/0");
-  ledger.OnCircuitUsed(0, "ds/1/0");
-  ledger.OnCircuitRefused(200'000, 0, "ds/1/0");
-  ledger.OnCircuitRefused(300'000, 0, "ds/1/0");
-  ledger.OnCircuitRefused(2'000'000, 0, "ds/1/0");  // after a longer gap
-  EXPECT_EQ(ledger.wasted(), 0U);
-  EXPECT_EQ(ledger.most_running(), 3U);
-  ledger.OnCircuitRefused(2'100'000, 0, "ds/1/0");
-  ledger.OnCircuitRefused(2'200'000, 0, "ds/1/0");
-  EXPECT_EQ(ledger.wasted(), 1U);
+  ledger.RecordCircuitRefusal(0, 0, "ds/1/0");
+  ledger.RecordCircuitRefusal(100'000, 0, "ds/1/0");
+  ledger.RecordCircuitUse(0, "ds/1/0");
+  ledger.RecordCircuitRefusal(200'000, 0, "ds/1/0");
+  ledger.RecordCircuitRefusal(300'000, 0, "ds/1/0");
+  ledger.RecordCircuitRefusal(2'000'000, 0, "ds/1/0");  // after a longer gap
+  EXPECT_EQ(ledger.waste_count(), 0U);
+  EXPECT_EQ(ledger.max_consecutive_refusals(), 3U);
+  ledger.RecordCircuitRefusal(2'100'000, 0, "ds/1/0");
+  ledger.RecordCircuitRefusal(2'200'000, 0, "ds/1/0");
+  EXPECT_EQ(ledger.waste_count(), 1U);
 }
 
 TEST(Ledger, ReportsWasteForIdleGroupAndAvoidedExchange) {
-  TryEnd refused;
-  refused.how = "refused";
+  AttemptRecord refused;
+  refused.outcome = "refused";
   refused.from = 0;
   refused.to = 1;
   refused.direct = refused.healthy = true;
   Ledger idle(1);
-  for (int i = 0; i < 60; ++i) idle.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
-  EXPECT_EQ(idle.wasted(), 1U);  // the idle group once; the exchange does not count as avoided yet
-  for (int i = 60; i < 120; ++i) idle.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
-  EXPECT_EQ(idle.wasted(), 2U);
+  for (int i = 0; i < 60; ++i) idle.RecordAttempt(static_cast<TimeUs>(i) * 100'000, refused);
+  EXPECT_EQ(idle.waste_count(), 1U);  // the idle group once; the exchange does not count as avoided yet
+  for (int i = 60; i < 120; ++i) idle.RecordAttempt(static_cast<TimeUs>(i) * 100'000, refused);
+  EXPECT_EQ(idle.waste_count(), 2U);
   Ledger used(1);
   for (int i = 0; i < 60; ++i) {
-    used.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
-    if (i % 15 == 0) used.OnSetUp(static_cast<TimeUs>(i) * 100'000, 0, 1, 1);
+    used.RecordAttempt(static_cast<TimeUs>(i) * 100'000, refused);
+    if (i % 15 == 0) used.RecordSetUp(static_cast<TimeUs>(i) * 100'000, 0, 1, 1);
   }
-  EXPECT_EQ(used.wasted(), 0U);
+  EXPECT_EQ(used.waste_count(), 0U);
   Ledger unhealthy(1);
   refused.healthy = false;
-  for (int i = 0; i < 60; ++i) unhealthy.OnTry(static_cast<TimeUs>(i) * 100'000, refused);
-  EXPECT_EQ(unhealthy.wasted(), 0U);
+  for (int i = 0; i < 60; ++i) unhealthy.RecordAttempt(static_cast<TimeUs>(i) * 100'000, refused);
+  EXPECT_EQ(unhealthy.waste_count(), 0U);
 }
 
 // Plays a whole day through trace, ledger and bound, for the decision module and each baseline with the same seed.
@@ -269,7 +275,7 @@
     day.also = [&](const lab::TraceRecord& record) { accounts.Take(record); };
     day.Play();
     const Account total = accounts.ledger().Total();
-    EXPECT_TRUE(total.Exact()) << name;
+    EXPECT_TRUE(total.IsBalanced()) << name;
     std::uint64_t tries = 0, in_time = 0, late = 0;
     for (const auto& c : day.report.classes) tries += c.tries, in_time += c.in_time, late += c.late;
     EXPECT_EQ(total.tries, tries) << name;
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -1,7 +1,7 @@
 // The rule checker reports violations of each rule, and none for correct traffic.
-#include <gtest/gtest.h>
+#include "lab/rule_checker.h"
 
-#include "lab/rules.h"
+#include <gtest/gtest.h>
 
 namespace croftrun::lab {
 namespace {
@@ -20,7 +20,7 @@
                    {"roster", "127.0.0.3:4000"},
                    {"release_ms", 300},
                    {"drain_grace_ms", 500}};
-    checker.Take(day);
+    checker.ProcessRecord(day);
   }
   void Gateway(TimeUs at_ms, const std::string& text) { AddDatagram(at_ms, kGateway, kEdge, text); }
   void Edge(TimeUs at_ms, const std::string& text) { AddDatagram(at_ms, kEdge, kGateway, text); }
@@ -30,7 +30,7 @@
     record.at_us = at_ms * kMs;
     record.fact = name;
     record.figures = std::move(figures);
-    checker.Take(record);
+    checker.ProcessRecord(record);
   }
   // A call from the line, accepted at `at_ms`, with a caller time-out of 3 s.
   void Dial(TimeUs at_ms, int line = 1) {
@@ -83,7 +83,7 @@
     record.from = from;
     record.to = to;
     record.text = text;
-    checker.Take(record);
+    checker.ProcessRecord(record);
   }
   int next_ = 1;
   bool finished_ = false;
@@ -101,7 +101,7 @@
   t.Dial(9000);
   t.Refuse(9001);
   EXPECT_TRUE(t.Kept()) << t.checker.Summary();
-  EXPECT_EQ(t.checker.calls_taken(), 2U);
+  EXPECT_EQ(t.checker.accepted_calls(), 2U);
 }
 
 TEST(RuleChecker, ReportsNotKeptWithoutAnEdge) {
@@ -306,7 +306,7 @@
   answered.Edge(1000, "200 70\r\n");
   answered.Release(1500, "ds/1/4");
   EXPECT_TRUE(answered.Kept()) << answered.checker.Summary();
-  EXPECT_EQ(answered.checker.transit_taken(), 1U);
+  EXPECT_EQ(answered.checker.accepted_transit_calls(), 1U);
   TraceBuilder silent;
   silent.Gateway(1000, sup);
   silent.Edge(1000, "200 70\r\n");
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -38,8 +38,8 @@
                                            });
   }
   std::uint32_t Send(std::string body = "C: 1\r\n") {
-    return layer->Send(kGateway, {Verb::kCrcx, "ds/1/0@gw", std::move(body), [this](const Answered& a) {
-                                    endings.push_back(a.ending);
+    return layer->Send(kGateway, {Verb::kCrcx, "ds/1/0@gw", std::move(body), [this](const TransactionResult& a) {
+                                    outcomes.push_back(a.outcome);
                                     codes.push_back(a.code());
                                   }});
   }
@@ -50,7 +50,7 @@
   bool respond_immediately = true;
   std::vector<Transactions::CommandId> commands;
   std::vector<std::string> verbs;
-  std::vector<Ending> endings;
+  std::vector<TransactionOutcome> outcomes;
   std::vector<int> codes;
 };
 
@@ -77,8 +77,8 @@
   runtime.RunFor(3'000 * kMs);
   EXPECT_GE(gateway.received.size(), 2U);  // the response must have been lost
   runtime.RunFor(30'000 * kMs);
-  ASSERT_EQ(endings.size(), 1U);
-  EXPECT_EQ(endings[0], Ending::kNoAnswer);
+  ASSERT_EQ(outcomes.size(), 1U);
+  EXPECT_EQ(outcomes[0], TransactionOutcome::kNoResponse);
 }
 
 TEST_F(TransactionsTest, NeverExecutesAcknowledgedCommandAgain) {
@@ -93,7 +93,7 @@
 
 TEST_F(TransactionsTest, AcknowledgedCommandsUseNoHistoryAndAreNotExecutedAgain) {
   TransactionSettings settings;
-  settings.most_history = 4;
+  settings.max_history = 4;
   Open(settings);
   for (int i = 1; i <= 200; ++i) {
     gateway.Send("NTFY " + std::to_string(i) + " aaln/1@gw MGCP 1.0\r\nK: " + std::to_string(i - 1) +
@@ -135,8 +135,8 @@
   EXPECT_GE(gateway.received.size(), 4U);
   EXPECT_LE(gateway.received.size(), 8U);
   for (const std::string& copy : gateway.received) EXPECT_EQ(copy, gateway.received[0]);
-  ASSERT_EQ(endings.size(), 1U);
-  EXPECT_EQ(endings[0], Ending::kNoAnswer);
+  ASSERT_EQ(outcomes.size(), 1U);
+  EXPECT_EQ(outcomes[0], TransactionOutcome::kNoResponse);
   EXPECT_EQ(layer->pending(), 0U);
 }
 
@@ -185,7 +185,7 @@
 TEST_F(TransactionsTest, StoppedCommandIsNotRetransmittedButAcceptsLateResponse) {
   const auto id = Send();
   runtime.RunFor(kMs);
-  layer->StopRepeating(id);
+  layer->StopRetransmitting(id);
   runtime.RunFor(3'000 * kMs);
   EXPECT_EQ(gateway.received.size(), 1U);
   gateway.Send("200 " + std::to_string(id) + "\r\n");
@@ -210,7 +210,7 @@
 
 TEST_F(TransactionsTest, RejectsCommandWhenHistoryIsFull) {
   TransactionSettings settings;
-  settings.most_history = 2;
+  settings.max_history = 2;
   settings.history_us = 1'000 * kMs;
   Open(settings);
   for (int i = 1; i <= 4; ++i) gateway.Send("NTFY " + std::to_string(i) + " aaln/1@gw MGCP 1.0\r\nO: L/hu\r\n");
@@ -227,11 +227,11 @@
 
 TEST_F(TransactionsTest, LimitsPendingCommands) {
   TransactionSettings settings;
-  settings.most_pending = 16;
+  settings.max_pending = 16;
   Open(settings);
   for (int i = 0; i < 20; ++i) Send();
   EXPECT_EQ(layer->pending(), 16U);
-  EXPECT_EQ(std::count(endings.begin(), endings.end(), Ending::kTooManyPending), 4);
+  EXPECT_EQ(std::count(outcomes.begin(), outcomes.end(), TransactionOutcome::kTooManyPending), 4);
 }
 
 TEST_F(TransactionsTest, PiggybacksCorkedCommandsInOrder) {
--- a/tests/ws_test.cpp
+++ b/tests/ws_test.cpp
@@ -91,7 +91,7 @@
   int close_code = 0;
 };
 
-class ApiOverEdge : public HardCase {
+class ApiOverEdge : public CallPath {
  protected:
   ApiOverEdge() {
     edge::ApiSettings api;
@@ -133,7 +133,7 @@
   const auto id = OpenSession(&connection, Token());
   const CallId call = PlaceCall(id, &connection, "r1");
   ASSERT_NE(call, 0U);
-  ASSERT_EQ(SetUps(), 1U);
+  ASSERT_EQ(SetUpCount(), 1U);
   EXPECT_EQ(gateway.Last(mgcp::Verb::kCrcx, "ds/")->Get("S"), "MS/sup(addr(110010007),id(crew-7))");
   OnCircuit(LastSeized(), "MS/ans");
   ASSERT_EQ(connection.Count("final"), 1U);
@@ -141,7 +141,7 @@
   SendCommand(id, "r2", {{"do", "hang-up"}, {"call", call}});
   runtime.RunFor(10 * kMs);
   EXPECT_EQ(node->core().open_calls(), 0U);
-  EXPECT_EQ(Idle(1), 2U);
+  EXPECT_EQ(IdleCircuits(1), 2U);
   SendCommand(id, "r3", {{"do", "hang-up"}, {"call", call}});
   EXPECT_EQ(connection.Last().at("error").at("code"), "no-call");
   EXPECT_EQ(connection.Count("final"), 1U);
@@ -152,7 +152,7 @@
   const auto id = OpenSession(&connection, Token());
   const CallId call = PlaceCall(id, &connection, "r1");
   EXPECT_EQ(PlaceCall(id, &connection, "r1"), call);
-  EXPECT_EQ(SetUps(), 1U);
+  EXPECT_EQ(SetUpCount(), 1U);
   EXPECT_EQ(node->session_manager()->counters().repeated, 1U);
 }
 
