--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -139,8 +139,8 @@
     if (connection_ != nullptr && connection_state_.phase() == ConnectionState::Phase::kUp) UpdateAcknowledged(now);
     if (connection_ != nullptr && !connection_->broken && connection_state_.CheckTimeout(now)) {
       error_code ignored;
-      error_text_ = connection_state_.phase() == ConnectionState::Phase::kUp ? "collector acknowledges no data"
-                                                                             : "connection attempt timed out";
+      error_text_ =
+          connection_state_.phase() == ConnectionState::Phase::kUp ? "takes nothing any more" : "does not answer";
       connection_->broken = true;
       connection_->socket.close(ignored);
       Wake();
--- a/src/flow/tls_keys.cpp
+++ b/src/flow/tls_keys.cpp
@@ -56,7 +56,7 @@
     loaded->use_private_key_file(files_.key, ssl::context::pem, code);
     if (!succeeded("key", files_.key)) return false;
     if (SSL_CTX_check_private_key(loaded->native_handle()) != 1) {
-      *error = "key " + files_.key + ": does not match certificate " + files_.certificate;
+      *error = "key " + files_.key + ": is not that of certificate " + files_.certificate;
       return false;
     }
     certificate_expiry = ExpiryOf(SSL_CTX_get0_certificate(loaded->native_handle()));
