--- a/src/call_controller.cpp
+++ b/src/call_controller.cpp
@@ -923,8 +923,7 @@
       return;
     e.overload_logged_at = now_;
     char text[160];
-    std::snprintf(text, sizeof(text),
-                  "exchange number %d overloaded: withholding %.0f%% of set-ups, delay %.0f ms, %zu unanswered",
+    std::snprintf(text, sizeof(text), "exchange number %d pressed: keeping back %.0f%%, delay %.0f ms, %zu unanswered",
                   e.entry.number, 100.0 * reduction, e.smoothed_delay / 1000.0, e.unanswered_set_ups.size());
     actions_->push_back(WriteLog{text});
   }
