--- a/src/edge/edge_settings.cpp
+++ b/src/edge/edge_settings.cpp
@@ -257,8 +257,8 @@
 
   void ReadTls(const json& entry, const std::string& path, const std::string& transport, flow::TlsFiles* tls) {
     if (entry.contains("tls") != (transport == "tls")) {
-      AddMistake(path + "/tls", transport == "tls" ? "expected at least authorities, found nothing"
-                                                   : "expected transport tls with it, found " + transport);
+      AddMistake(path + "/tls", transport == "tls" ? "expected authorities at least, found nothing"
+                                                   : "expected transport tls beside it, found " + transport);
       return;
     }
     if (!entry.contains("tls")) return;
@@ -305,8 +305,8 @@
       const std::string path = "/flow/collectors/" + std::to_string(index++);
       flow::CollectorSettings c;
       if (!core::ParseAddress(entry.at("address").get<std::string>(), &c.address))
-        AddMistake(path + "/address", "expected an address such as 127.0.0.1:4739, found \"" +
-                                          entry.at("address").get<std::string>() + "\"");
+        AddMistake(path + "/address",
+                   "expected an address as 127.0.0.1:4739, found \"" + entry.at("address").get<std::string>() + "\"");
       const std::string transport = entry.value("transport", "udp");
       c.transport = transport == "tcp"   ? flow::Transport::kTcp
                     : transport == "tls" ? flow::Transport::kTls
@@ -314,7 +314,7 @@
       c.protocol = entry.value("protocol", "ipfix") == "netflow9" ? flow::Protocol::kNetflow9 : flow::Protocol::kIpfix;
       if (c.transport != flow::Transport::kUdp && c.protocol == flow::Protocol::kNetflow9)
         AddMistake(path + "/protocol",
-                   "expected ipfix over " + transport + ", found netflow9, which is supported over udp only");
+                   "expected ipfix over " + transport + ", found netflow9, which goes over udp only");
       Value(entry, "queue", &c.max_queued_records);
       Value(entry, "message_octets", &c.max_message_octets);
       Time(entry, "template_refresh_ms", &c.template_refresh_interval_us);
