--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -14,24 +14,26 @@
 #include <vector>
 
 #include "edge/edge_settings.h"
+#include "lab/admission_comparison.h"
 #include "lab/baselines.h"
 #include "lab/collector.h"
 #include "lab/day.h"
 #include "lab/day_accounts.h"
 #include "lab/day_file.h"
-#include "lab/day_picture.h"
-#include "lab/doors.h"
+#include "lab/day_report_page.h"
 #include "lab/edge_processes.h"
-#include "lab/rules.h"
+#include "lab/rule_checker.h"
 #include "lab/virtual_day.h"
 #include "runtime/asio_runtime.h"
 
 namespace croftrun::cli {
 namespace {
 
-constexpr std::size_t kMostBytes = 64U << 20U;
+// Limit on the size of input files.
+constexpr std::size_t kMaxFileOctets = 64U << 20U;
 
-bool Fine(const std::vector<config::Mistake>& mistakes, const std::string& file) {
+// Prints the mistakes. Returns true if there are none.
+bool CheckNoMistakes(const std::vector<config::SettingsError>& mistakes, const std::string& file) {
   if (mistakes.empty()) return true;
   std::cerr << file << ":\n" << config::ToString(mistakes);
   return false;
@@ -39,8 +41,8 @@
 
 nlohmann::json RulesJson(const lab::RuleChecker& rules) {
   nlohmann::json json = {{"kept", rules.Kept()},
-                         {"calls_taken", rules.calls_taken()},
-                         {"transit_taken", rules.transit_taken()},
+                         {"calls_taken", rules.accepted_calls()},
+                         {"transit_taken", rules.accepted_transit_calls()},
                          {"fell_over", rules.fell_over()}};
   for (std::size_t i = 0; i < lab::kRules; ++i) {
     const auto rule = static_cast<lab::Rule>(i);
@@ -57,9 +59,9 @@
 nlohmann::json ReportJson(const lab::Scenario& scenario, const lab::DayReport& report) {
   nlohmann::json json = {{"service", report.service},
                          {"datagrams", report.datagrams},
-                         {"fell_over", report.fell_over},
-                         {"still_up", report.still_up},
-                         {"no_line", report.no_line}};
+                         {"fell_over", report.collapsed},
+                         {"still_up", report.calls_left},
+                         {"no_line", report.no_free_line}};
   for (std::size_t i = 0; i < report.classes.size(); ++i) {
     const lab::ClassOutcome& o = report.classes[i];
     json["classes"].push_back({{"name", scenario.classes[i].name},
@@ -71,7 +73,7 @@
                                {"failed", o.failed},
                                {"hung_up", o.hung_up},
                                {"unanswered", o.unanswered},
-                               {"cut", o.cut}});
+                               {"cut", o.terminated}});
   }
   const auto& delays = report.set_up_delays;
   if (!delays.empty()) {
@@ -82,7 +84,8 @@
   return json;
 }
 
-// Every record of a trace in turn; false: it cannot be read, and what is wrong was told with its line.
+// Calls `take` for each record of a trace. Returns false if the file cannot be read or has an invalid line, after
+// printing the error with its line number.
 bool ReadTrace(const std::string& path, const std::function<void(const lab::TraceRecord&)>& take) {
   std::ifstream file(path);
   if (!file) {
@@ -93,7 +96,7 @@
   for (std::size_t number = 1; std::getline(file, line); ++number) {
     lab::TraceRecord record;
     std::string error;
-    if (!lab::FromLine(line, &record, &error)) {
+    if (!lab::ParseRecord(line, &record, &error)) {
       std::cerr << path << ":" << number << ": " << error << "\n";
       return false;
     }
@@ -104,13 +107,13 @@
 
 nlohmann::json AccountJson(const reach::Account& account) {
   nlohmann::json lost = nlohmann::json::object();
-  for (std::size_t i = 0; i < reach::kLost; ++i)
-    lost[std::string(reach::Name(static_cast<reach::Lost>(i)))] = account.lost[i];
+  for (std::size_t i = 0; i < reach::kLossCategories; ++i)
+    lost[std::string(reach::Name(static_cast<reach::LossCategory>(i)))] = account.lost[i];
   return {{"tries", account.tries},
           {"in_time", account.in_time},
           {"late", account.late},
           {"lost", lost},
-          {"exact", account.Exact()}};
+          {"exact", account.IsBalanced()}};
 }
 
 double WorthServed(const lab::Scenario& scenario, const reach::Ledger& ledger) {
@@ -128,8 +131,8 @@
   const reach::Ledger& ledger = accounts.ledger();
   nlohmann::json json = {{"total", AccountJson(ledger.Total())},
                          {"circuit_refusals", ledger.refusals()},
-                         {"refusals_of_one_circuit_running", ledger.most_running()},
-                         {"wasted", {{"count", ledger.wasted()}, {"examples", ledger.examples()}}},
+                         {"refusals_of_one_circuit_running", ledger.max_consecutive_refusals()},
+                         {"wasted", {{"count", ledger.waste_count()}, {"examples", ledger.examples()}}},
                          {"within_reach",
                           {{"solved", bound.solved},
                            {"worth", bound.worth},
@@ -138,8 +141,8 @@
                            {"share_of_offered", bound.Share()},
                            {"columns", bound.columns},
                            {"rows", bound.rows},
-                           {"per_cent_more_circuits", bound.for_circuits},
-                           {"per_cent_more_processing", bound.for_processors}}}};
+                           {"per_cent_more_circuits", bound.worth_of_one_percent_circuits},
+                           {"per_cent_more_processing", bound.worth_of_one_percent_processing}}}};
   if (bound.solved && bound.worth > 0.0) json["share_of_reach"] = WorthServed(scenario, ledger) / bound.worth;
   for (std::size_t i = 0; i < scenario.classes.size(); ++i)
     json["classes"][scenario.classes[i].name] = AccountJson(ledger.accounts()[i]);
@@ -154,20 +157,20 @@
     std::printf("within reach: the bound was not solved\n");
   } else {
     std::printf("within reach: at most %.3f of the worth offered (%s); of that, served: %.3f\n", bound.Share(),
-                bound.by_tandem ? "tandems told apart" : "tandems together",
+                bound.by_tandem ? "each tandem separately" : "all tandems combined",
                 bound.worth > 0.0 ? WorthServed(scenario, ledger) / bound.worth : 1.0);
     std::printf("  1%% more circuits would have been worth %.1f, 1%% more processing %.1f, of %.0f\n",
-                bound.for_circuits, bound.for_processors, bound.worth);
+                bound.worth_of_one_percent_circuits, bound.worth_of_one_percent_processing, bound.worth);
   }
   std::printf("where %llu tries went: %llu in time, %llu late", n(total.tries), n(total.in_time), n(total.late));
-  for (std::size_t i = 0; i < reach::kLost; ++i) {
+  for (std::size_t i = 0; i < reach::kLossCategories; ++i) {
     if (total.lost[i] > 0)
-      std::printf(", %llu %s", n(total.lost[i]), std::string(reach::Name(static_cast<reach::Lost>(i))).c_str());
+      std::printf(", %llu %s", n(total.lost[i]), std::string(reach::Name(static_cast<reach::LossCategory>(i))).c_str());
   }
-  std::printf("%s\n", total.Exact() ? "" : " (the sums do NOT agree)");
+  std::printf("%s\n", total.IsBalanced() ? "" : " (the sums do NOT agree)");
   std::printf("circuits refused: %llu times, one at most %u times in a row\n", n(ledger.refusals()),
-              ledger.most_running());
-  std::printf("plainly wasted: %llu\n", n(ledger.wasted()));
+              ledger.max_consecutive_refusals());
+  std::printf("plainly wasted: %llu\n", n(ledger.waste_count()));
   for (const std::string& example : ledger.examples()) std::printf("    %s\n", example.c_str());
 }
 
@@ -179,7 +182,7 @@
     const auto n = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
     std::printf("%-16s %8llu %8llu %8llu %8llu %8llu %8llu %8llu %10llu %6llu\n", scenario.classes[i].name.c_str(),
                 n(o.offered), n(o.tries), n(o.in_time), n(o.late), n(o.refused), n(o.failed), n(o.hung_up),
-                n(o.unanswered), n(o.cut));
+                n(o.unanswered), n(o.terminated));
   }
   const auto& delays = report.set_up_delays;
   if (!delays.empty())
@@ -192,84 +195,90 @@
 
 namespace {
 
-// Collectors of a day, one for each edge; what came is kept as it came, and counted.
+// One flow collector per edge. Stores the received messages unchanged and counts their records.
 class DayCollectors {
  public:
-  // Throws boost::system::system_error where an address cannot be bound.
+  // Throws boost::system::system_error if an address cannot be bound.
   DayCollectors(const lab::Scenario& scenario, const std::string& folder) : folder_(folder) {
     for (int i = 0; i < scenario.edges; ++i) {
-      auto& one = collectors_.emplace_back(std::make_unique<One>(lab::CollectorAddress(scenario, i)));
-      one->file.open(folder + "/flows-" + std::to_string(i) + ".ipfix", std::ios::binary | std::ios::trunc);
-      one->collector.OnMessage([one = one.get()](std::string_view message) { one->file << message; });
-      one->collector.StartTcp(lab::Collector::Mode::kRead);
+      auto& edge_collector =
+          collectors_.emplace_back(std::make_unique<EdgeCollector>(lab::CollectorAddress(scenario, i)));
+      edge_collector->file.open(folder + "/flows-" + std::to_string(i) + ".ipfix", std::ios::binary | std::ios::trunc);
+      edge_collector->collector.OnMessage(
+          [edge_collector = edge_collector.get()](std::string_view message) { edge_collector->file << message; });
+      edge_collector->collector.StartTcp(lab::Collector::Mode::kRead);
     }
   }
-  // Three counts of the same: on the sockets, by the softswitch itself, and received. `true` if they agree; of an edge
-  // that was killed its own count is of its last life only, and what it had not sent is told as the difference.
+  // Compares three counts of calls and set-ups: those seen on the sockets, those reported by the softswitch and those
+  // received by the collector. Sets `*agree` if they are equal for every edge and no record was dropped. For an edge
+  // that was killed, only bounds are checked: its own count covers only its last incarnation, and the collector lacks
+  // the records that were not sent before the kill.
   nlohmann::json Compare(const lab::RuleChecker& rules, const lab::Scenario& scenario, bool* agree) {
     std::set<int> killed;
     for (const lab::Fault& fault : scenario.faults) {
       if (fault.kind == "edge-kill") killed.insert(fault.exchanges.begin(), fault.exchanges.end());
     }
     const auto work = rules.work();
-    nlohmann::json all = nlohmann::json::array();
+    nlohmann::json results = nlohmann::json::array();
     *agree = true;
     for (std::size_t i = 0; i < collectors_.size(); ++i) {
-      One& one = *collectors_[i];
-      one.collector.Stop();
-      one.file.close();
+      EdgeCollector& edge_collector = *collectors_[i];
+      edge_collector.collector.Stop();
+      edge_collector.file.close();
       const int number = static_cast<int>(i);
       std::ifstream metrics_file(folder_ + "/edge-" + std::to_string(i) + ".metrics.json");
       const nlohmann::json metrics = nlohmann::json::parse(metrics_file, nullptr, false);
       const nlohmann::json own =
           metrics.is_object() ? metrics.value("flow", nlohmann::json::object()) : nlohmann::json::object();
-      const auto truth = work.count(number) > 0 ? work.at(number) : lab::RuleChecker::Work{};
+      const auto on_sockets = work.count(number) > 0 ? work.at(number) : lab::RuleChecker::Work{};
       const std::uint64_t dropped =
           own.value("dropped_calls", std::uint64_t{0}) + own.value("dropped_attempts", std::uint64_t{0});
-      // Attempts that found no circuit to seize are told as such and never were on the sockets.
+      // Attempts without a free circuit are counted by the edge but never appear on the sockets.
       const nlohmann::json core =
           metrics.is_object() ? metrics.value("calls", nlohmann::json::object()) : nlohmann::json::object();
-      // So are seizures that crossed one of the edge's own: they were sent back and are no calls of this edge.
+      // Seizures rejected because of glare, or on circuits out of service, are not counted as calls by the edge.
       const std::uint64_t glare =
           core.value("glare", std::uint64_t{0}) + core.value("not_in_service", std::uint64_t{0});
       const std::uint64_t own_calls = own.value("calls", std::uint64_t{0});
       const std::uint64_t own_set_ups = core.value("attempts", std::uint64_t{0}) - core.value("moot", std::uint64_t{0});
-      const std::uint64_t calls = one.collector.calls, set_ups = one.collector.set_ups;
+      const std::uint64_t calls = edge_collector.collector.calls, set_ups = edge_collector.collector.set_ups;
       const bool same = killed.count(number) > 0
-                            ? calls <= truth.calls && set_ups <= truth.set_ups && calls >= own_calls
-                            : calls + glare == truth.calls && set_ups == truth.set_ups && calls == own_calls &&
-                                  set_ups == own_set_ups;
+                            ? calls <= on_sockets.calls && set_ups <= on_sockets.set_ups && calls >= own_calls
+                            : calls + glare == on_sockets.calls && set_ups == on_sockets.set_ups &&
+                                  calls == own_calls && set_ups == own_set_ups;
       *agree = *agree && same && dropped == 0;
-      all.push_back(
+      results.push_back(
           {{"edge", number},
            {"killed", killed.count(number) > 0},
            {"agree", same},
-           {"sockets", {{"calls", truth.calls}, {"set_ups", truth.set_ups}}},
+           {"sockets", {{"calls", on_sockets.calls}, {"set_ups", on_sockets.set_ups}}},
            {"own", {{"calls", own_calls}, {"glare", glare}, {"set_ups", own_set_ups}, {"dropped", dropped}}},
            {"received",
-            {{"calls", calls}, {"set_ups", set_ups}, {"possibly_repeated", one.collector.possibly_repeated.load()}}}});
+            {{"calls", calls},
+             {"set_ups", set_ups},
+             {"possibly_repeated", edge_collector.collector.possibly_repeated.load()}}}});
     }
-    return all;
+    return results;
   }
 
  private:
-  struct One {
-    explicit One(const core::Address& address) : collector(address) {}
+  struct EdgeCollector {
+    explicit EdgeCollector(const core::Address& address) : collector(address) {}
     lab::Collector collector;
     std::ofstream file;
   };
   std::string folder_;
-  std::vector<std::unique_ptr<One>> collectors_;
+  std::vector<std::unique_ptr<EdgeCollector>> collectors_;
 };
 
 }  // namespace
 
 int RunDay(const LabRun& options) {
-  std::vector<config::Mistake> mistakes;
-  const std::string text = config::ReadFile(options.scenario, kMostBytes, &mistakes);
+  std::vector<config::SettingsError> mistakes;
+  const std::string text = config::ReadFile(options.scenario, kMaxFileOctets, &mistakes);
   lab::Scenario scenario;
   if (mistakes.empty()) scenario = lab::ParseScenario(text, &mistakes);
-  if (!Fine(mistakes, options.scenario)) return kBadInput;
+  if (!CheckNoMistakes(mistakes, options.scenario)) return kBadInput;
   std::filesystem::create_directories(options.folder);
   std::optional<DayCollectors> collectors;
   if (options.flow) {
@@ -281,8 +290,8 @@
 
   runtime::AsioRuntime runtime;
   lab::Trace trace(&runtime);
-  trace.WriteTo(options.folder + "/trace.jsonl");
-  if (options.capture) trace.CaptureTo(options.folder + "/capture.pcap");
+  trace.OpenTraceFile(options.folder + "/trace.jsonl");
+  if (options.capture) trace.OpenCaptureFile(options.folder + "/capture.pcap");
   lab::RuleChecker rules;
   lab::DayAccounts accounts(scenario);
   std::ofstream(options.folder + "/scenario.json") << text;
@@ -290,20 +299,20 @@
   lab::Day day(scenario, &runtime, &trace, &edges, options.folder);
   const bool progress = !options.quiet && ::isatty(STDERR_FILENO) == 1;
   core::Timer tick(&runtime);
-  const std::function<void()> show = [&] {
+  const std::function<void()> show_progress = [&] {
     std::fprintf(stderr, "\r%s: %3.0f%%", scenario.name.c_str(), 100.0 * day.Progress());
-    tick.Start(500'000, show);
+    tick.Start(500'000, show_progress);
   };
-  if (progress) show();
-  day.Begin([&] { runtime.Stop(); });
+  if (progress) show_progress();
+  day.Start([&] { runtime.Stop(); });
   runtime.Run();
   tick.Stop();
   if (progress) std::fprintf(stderr, "\r%s: done \n", scenario.name.c_str());
-  // Judged from the file, after the day: while it lasts, the laboratory is to be quicker than what it measures.
+  // The trace is evaluated after the run, so that the laboratory stays faster than the edges it measures.
   trace.Flush();
   if (!ReadTrace(options.folder + "/trace.jsonl", [&](const lab::TraceRecord& record) {
-        rules.Take(record);
-        accounts.Take(record);
+        rules.ProcessRecord(record);
+        accounts.AddRecord(record);
       }))
     return kCannotRun;
   rules.Finish();
@@ -311,7 +320,7 @@
   const bool clean = edges.StopAll(5'000);
   const reach::Bound bound = accounts.Bound();
   std::ofstream(options.folder + "/day.html") << lab::DayPage(scenario, accounts, bound, rules);
-  const bool wasted = accounts.ledger().wasted() > 0 || !accounts.ledger().Total().Exact();
+  const bool wasted = accounts.ledger().waste_count() > 0 || !accounts.ledger().Total().IsBalanced();
   bool agree = true;
   nlohmann::json flows;
   if (collectors) flows = collectors->Compare(rules, scenario, &agree);
@@ -327,7 +336,7 @@
     std::printf("%s: %d edges, %d exchanges, %.1f calls/s for %.0f s, %llu datagrams, %llu calls in transit\n",
                 scenario.name.c_str(), scenario.edges, scenario.exchanges, scenario.calls_per_s,
                 static_cast<double>(scenario.length_us) / 1e6, static_cast<unsigned long long>(report.datagrams),
-                static_cast<unsigned long long>(rules.transit_taken()));
+                static_cast<unsigned long long>(rules.accepted_transit_calls()));
     std::printf("%s", rules.Summary().c_str());
     PrintReport(scenario, report);
     PrintAccounts(scenario, accounts, bound);
@@ -340,63 +349,63 @@
           f["received"]["calls"].dump().c_str(), f["received"]["set_ups"].dump().c_str(),
           f["agree"].get<bool>() ? "they agree" : "they do NOT agree",
           f["killed"].get<bool>() ? " (it was killed)" : "");
-    std::printf("edges stopped in order: %s\n", clean ? "yes" : "NO");
-    std::printf("trace, page of the day (day.html), settings, logs and metrics in %s\n", options.folder.c_str());
+    std::printf("edges exited cleanly: %s\n", clean ? "yes" : "NO");
+    std::printf("trace, HTML report (day.html), settings, logs and metrics are in %s\n", options.folder.c_str());
   }
-  return rules.Kept() && clean && agree && !wasted && report.fell_over == 0 ? kDone : kVerdictAgainst;
+  return rules.Kept() && clean && agree && !wasted && report.collapsed == 0 ? kDone : kCheckFailed;
 }
 
-int CompareDoors(const LabDoors& options) {
-  lab::DoorsCurve curve;
-  curve.floods = options.floods;
-  std::sort(curve.floods.begin(), curve.floods.end());
-  nlohmann::json all = nlohmann::json::array();
+int CompareAdmission(const LabAdmission& options) {
+  lab::ComparisonCurves curve;
+  curve.flood_rates = options.floods;
+  std::sort(curve.flood_rates.begin(), curve.flood_rates.end());
+  nlohmann::json results = nlohmann::json::array();
   if (!options.json)
     std::printf("%-14s %8s %10s %8s %8s %8s %10s %10s %8s\n", "door", "flood/s", "worth/s", "quiet", "worst", "crowd",
                 "p99 wait", "as told", "waiting");
-  for (const std::string& name : lab::DoorNames()) {
-    auto& row = curve.by_door.emplace_back();
-    for (const double flood : curve.floods) {
-      lab::DoorsSettings settings;
+  for (const std::string& name : lab::PolicyNames()) {
+    auto& row = curve.by_policy.emplace_back();
+    for (const double flood : curve.flood_rates) {
+      lab::ComparisonSettings settings;
       settings.seed = options.seed;
       settings.flood_per_s = flood;
-      row.push_back(lab::PlayDoor(name, settings));
-      const lab::DoorFigures& f = row.back();
-      all.push_back({{"door", f.door},
-                     {"flood_per_s", flood},
-                     {"worth_per_s", f.goodput},
-                     {"quiet_share", f.quiet_share},
-                     {"worst_client", f.worst_client},
-                     {"crowd_share", f.crowd_share},
-                     {"p99_wait_ms", f.p99_wait_ms},
-                     {"as_told_kept", f.told_kept},
-                     {"most_waiting", f.most_waiting}});
+      row.push_back(lab::RunPolicy(name, settings));
+      const lab::PolicyResult& f = row.back();
+      results.push_back({{"door", f.policy},
+                         {"flood_per_s", flood},
+                         {"worth_per_s", f.goodput},
+                         {"quiet_share", f.quiet_share},
+                         {"worst_client", f.worst_client},
+                         {"crowd_share", f.crowd_share},
+                         {"p99_wait_ms", f.p99_wait_ms},
+                         {"as_told_kept", f.reservations_kept},
+                         {"most_waiting", f.max_queued}});
       if (!options.json)
-        std::printf("%-14s %8.0f %10.1f %8.3f %8.3f %8.3f %7.0f ms %10.3f %8llu\n", f.door.c_str(), flood, f.goodput,
-                    f.quiet_share, f.worst_client, f.crowd_share, f.p99_wait_ms, f.told_kept,
-                    static_cast<unsigned long long>(f.most_waiting));
+        std::printf("%-14s %8.0f %10.1f %8.3f %8.3f %8.3f %7.0f ms %10.3f %8llu\n", f.policy.c_str(), flood, f.goodput,
+                    f.quiet_share, f.worst_client, f.crowd_share, f.p99_wait_ms, f.reservations_kept,
+                    static_cast<unsigned long long>(f.max_queued));
     }
   }
-  if (options.json) std::cout << all.dump(1) << "\n";
+  if (options.json) std::cout << results.dump(1) << "\n";
   if (options.svg.empty()) return kDone;
   std::ofstream file(options.svg);
-  file << lab::DoorsPicture(curve);
+  file << lab::RenderComparison(curve);
   if (file.good()) return kDone;
   std::cerr << "cannot write " << options.svg << "\n";
   return kCannotRun;
 }
 
 int ReportDay(const std::string& folder, const std::string& out) {
-  std::vector<config::Mistake> mistakes;
-  const std::string text = config::ReadFile(folder + "/scenario.json", kMostBytes, &mistakes);
+  std::vector<config::SettingsError> mistakes;
+  const std::string text = config::ReadFile(folder + "/scenario.json", kMaxFileOctets, &mistakes);
   lab::Scenario scenario;
   if (mistakes.empty()) scenario = lab::ParseScenario(text, &mistakes);
-  if (!Fine(mistakes, folder + "/scenario.json")) return kBadInput;
+  if (!CheckNoMistakes(mistakes, folder + "/scenario.json")) return kBadInput;
   lab::RuleChecker rules;
   lab::DayAccounts accounts(scenario);
   if (!ReadTrace(folder + "/trace.jsonl", [&](const lab::TraceRecord& record) {
-        rules.Take(record);
-        accounts.Take(record);
+        rules.ProcessRecord(record);
+        accounts.AddRecord(record);
       }))
     return kBadInput;
   rules.Finish();
@@ -415,23 +424,23 @@
 
 int CompareDeciders(const LabCompare& options) {
   const std::vector<std::string> names = options.deciders.empty() ? lab::DeciderNames() : options.deciders;
-  nlohmann::json all = nlohmann::json::array();
+  nlohmann::json results = nlohmann::json::array();
   bool kept = true;
   if (!options.json)
     std::printf("%-34s %-20s %7s %7s %8s %8s  %s\n", "day (on virtual time)", "decider", "service", "reach", "refused",
                 "tries", "rules broken; where the rest went");
   for (const std::string& path : options.scenarios) {
-    std::vector<config::Mistake> mistakes;
-    const std::string text = config::ReadFile(path, kMostBytes, &mistakes);
+    std::vector<config::SettingsError> mistakes;
+    const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
     lab::Scenario scenario;
     if (mistakes.empty()) scenario = lab::ParseScenario(text, &mistakes);
-    if (!Fine(mistakes, path)) return kBadInput;
+    if (!CheckNoMistakes(mistakes, path)) return kBadInput;
     for (int i = 0; i < options.seeds; ++i, ++scenario.seed) {
       for (const std::string& name : names) {
-        lab::VirtualDay day(scenario, lab::DeciderNamed(name));
+        lab::VirtualDay day(scenario, lab::FindDeciderFactory(name));
         lab::DayAccounts accounts(scenario);
-        day.also = [&](const lab::TraceRecord& record) { accounts.Take(record); };
-        day.Play();
+        day.on_record = [&](const lab::TraceRecord& record) { accounts.AddRecord(record); };
+        day.Run();
         const reach::Bound bound = accounts.Bound();
         const reach::Account total = accounts.ledger().Total();
         const double share =
@@ -440,12 +449,12 @@
                              std::max(1.0, static_cast<double>(total.tries));
         if (name == "module") kept = kept && day.rules.Kept();
         if (options.json) {
-          all.push_back({{"scenario", path},
-                         {"seed", scenario.seed},
-                         {"decider", name},
-                         {"report", ReportJson(scenario, day.report)},
-                         {"verdict", RulesJson(day.rules)},
-                         {"accounts", AccountsJson(scenario, accounts, bound)}});
+          results.push_back({{"scenario", path},
+                             {"seed", scenario.seed},
+                             {"decider", name},
+                             {"report", ReportJson(scenario, day.report)},
+                             {"verdict", RulesJson(day.rules)},
+                             {"accounts", AccountsJson(scenario, accounts, bound)}});
           continue;
         }
         std::string rest;
@@ -453,11 +462,13 @@
           if (day.rules.Finding(static_cast<lab::Rule>(r)).broken > 0)
             rest += std::string(lab::Name(static_cast<lab::Rule>(r))) + "! ";
         }
-        for (std::size_t l = 0; l < reach::kLost; ++l) {
+        for (std::size_t l = 0; l < reach::kLossCategories; ++l) {
           if (total.lost[l] > 0)
-            rest += std::string(reach::Name(static_cast<reach::Lost>(l))) + " " + std::to_string(total.lost[l]) + ", ";
+            rest += std::string(reach::Name(static_cast<reach::LossCategory>(l))) + " " +
+                    std::to_string(total.lost[l]) + ", ";
         }
-        if (accounts.ledger().wasted() > 0) rest += "plainly wasted " + std::to_string(accounts.ledger().wasted());
+        if (accounts.ledger().waste_count() > 0)
+          rest += "plainly wasted " + std::to_string(accounts.ledger().waste_count());
         std::printf("%-34s %-20s %7.3f %7.3f %7.1f%% %8llu  %s\n",
                     (scenario.name + " #" + std::to_string(scenario.seed)).c_str(), name.c_str(), day.report.service,
                     share, 100.0 * refused, static_cast<unsigned long long>(total.tries), rest.c_str());
@@ -465,13 +476,13 @@
       }
     }
   }
-  if (options.json) std::cout << all.dump(1) << "\n";
-  return kept ? kDone : kVerdictAgainst;
+  if (options.json) std::cout << results.dump(1) << "\n";
+  return kept ? kDone : kCheckFailed;
 }
 
-int GiveVerdict(const std::string& path, bool json) {
+int CheckTrace(const std::string& path, bool json) {
   lab::RuleChecker rules;
-  if (!ReadTrace(path, [&](const lab::TraceRecord& record) { rules.Take(record); })) return kBadInput;
+  if (!ReadTrace(path, [&](const lab::TraceRecord& record) { rules.ProcessRecord(record); })) return kBadInput;
   rules.Finish();
   if (rules.edges() == 0) {
     std::cerr << path << ": names no edge (a record of the fact \"day\" is missing), so nothing can be checked\n";
@@ -482,12 +493,12 @@
   } else {
     std::cout << rules.Summary();
   }
-  return rules.Kept() ? kDone : kVerdictAgainst;
+  return rules.Kept() ? kDone : kCheckFailed;
 }
 
 int CheckConfig(const std::string& path, bool json) {
-  std::vector<config::Mistake> mistakes;
-  const std::string text = config::ReadFile(path, kMostBytes, &mistakes);
+  std::vector<config::SettingsError> mistakes;
+  const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
   if (mistakes.empty()) edge::ParseEdgeSettings(text, &mistakes);
   if (json) {
     nlohmann::json list = nlohmann::json::array();
@@ -496,31 +507,31 @@
   } else if (mistakes.empty()) {
     std::cout << path << ": fine\n";
   } else {
-    Fine(mistakes, path);
+    CheckNoMistakes(mistakes, path);
   }
   return mistakes.empty() ? kDone : kBadInput;
 }
 
 int ShowConfig(const std::string& path) {
-  std::vector<config::Mistake> mistakes;
-  const std::string text = config::ReadFile(path, kMostBytes, &mistakes);
+  std::vector<config::SettingsError> mistakes;
+  const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
   edge::EdgeSettings settings;
   if (mistakes.empty()) settings = edge::ParseEdgeSettings(text, &mistakes);
-  if (!Fine(mistakes, path)) return kBadInput;
+  if (!CheckNoMistakes(mistakes, path)) return kBadInput;
   std::cout << edge::ShowEdgeSettings(settings).dump(1) << "\n";
   return kDone;
 }
 
-int ConvertDayFile(const std::string& path, const std::string& out, int most_edges, double most_calls_per_s) {
-  std::vector<config::Mistake> mistakes;
-  const std::string text = config::ReadFile(path, kMostBytes, &mistakes);
+int ConvertDayFile(const std::string& path, const std::string& out, int max_exchanges, double max_calls_per_s) {
+  std::vector<config::SettingsError> mistakes;
+  const std::string text = config::ReadFile(path, kMaxFileOctets, &mistakes);
   std::vector<std::string> left_out, notes;
   std::string scenario;
   if (mistakes.empty())
     scenario =
-        lab::ConvertDay(text, {static_cast<std::size_t>(most_edges), most_calls_per_s}, &left_out, &notes, &mistakes);
+        lab::ConvertDay(text, {static_cast<std::size_t>(max_exchanges), max_calls_per_s}, &left_out, &notes, &mistakes);
   if (mistakes.empty()) lab::ParseScenario(scenario, &mistakes);
-  if (!Fine(mistakes, path)) return kBadInput;
+  if (!CheckNoMistakes(mistakes, path)) return kBadInput;
   for (const std::string& note : notes) std::cerr << note << "\n";
   for (const std::string& what : left_out) std::cerr << "left out, without a counterpart here: " << what << "\n";
   if (out.empty()) {
--- a/src/lab/virtual_day.h
+++ b/src/lab/virtual_day.h
@@ -1,5 +1,5 @@
-// A day of the laboratory on virtual time, with the edges inside the process: the same day, edges and rules
-// as on sockets.
+// A scenario run in virtual time, with the edges inside the process. Scenario, edges and rule checks are the same as in
+// a run on sockets.
 #ifndef CROFTRUN_LAB_VIRTUAL_DAY_H_
 #define CROFTRUN_LAB_VIRTUAL_DAY_H_
 
@@ -13,29 +13,30 @@
 
 #include "edge/edge_node.h"
 #include "lab/day.h"
-#include "lab/rules.h"
+#include "lab/rule_checker.h"
 #include "sim/stallable_runtime.h"
 #include "sim/virtual_runtime.h"
 
 namespace croftrun::lab {
 
-// Keeps what is logged as an error.
-class QuietLog final : public core::LogSink {
+// Logger that keeps error messages and discards the rest.
+class ErrorLog final : public core::Logger {
  public:
   void Write(core::LogLevel level, std::string_view event, CallId, std::string_view detail) override {
     if (level == core::LogLevel::kError) errors.push_back(std::string(event) + ": " + std::string(detail));
   }
-  bool Wants(core::LogLevel level) const override { return level == core::LogLevel::kError; }
+  bool IsEnabled(core::LogLevel level) const override { return level == core::LogLevel::kError; }
   std::vector<std::string> errors;
 };
 
+// EdgeHost that runs the edges inside this process.
 class InProcessEdges final : public EdgeHost {
  public:
-  // `decider`: who decides in place of the module; null: the module.
-  InProcessEdges(core::Runtime* runtime, core::LogSink* log, core::MakeDecider decider = {})
+  // `decider` creates the replacement for the decision module; null: the module itself.
+  InProcessEdges(core::Runtime* runtime, core::Logger* log, core::DeciderFactory decider = {})
       : runtime_(runtime), log_(log), decider_(std::move(decider)) {}
   void Start(int number, const std::string& settings_json) override {
-    std::vector<config::Mistake> mistakes;
+    std::vector<config::SettingsError> mistakes;
     auto settings = std::make_unique<edge::EdgeSettings>(edge::ParseEdgeSettings(settings_json, &mistakes));
     if (!mistakes.empty()) throw std::runtime_error(config::ToString(mistakes));
     settings->core.decider = decider_;
@@ -49,9 +50,9 @@
   void Stop(int number) override {
     edges_[number].node->Stop([] {});
   }
-  void Stall(int number, bool stands_still) override {
+  void Stall(int number, bool stalled) override {
     if (const auto found = edges_.find(number); found != edges_.end() && found->second.node)
-      found->second.runtime->Stall(stands_still);
+      found->second.runtime->SetStalled(stalled);
   }
   edge::EdgeNode& At(int number) { return *edges_.at(number).node; }
   bool Runs(int number) const {
@@ -66,27 +67,28 @@
     std::unique_ptr<edge::EdgeNode> node;
   };
   core::Runtime* runtime_;
-  core::LogSink* log_;
-  core::MakeDecider decider_;
+  core::Logger* log_;
+  core::DeciderFactory decider_;
   std::map<int, Running> edges_;
 };
 
-// Plays a scenario to its end and holds what came of it.
+// Runs a scenario to its end and holds the results.
 class VirtualDay {
  public:
-  explicit VirtualDay(Scenario of, core::MakeDecider decider = {})
+  explicit VirtualDay(Scenario of, core::DeciderFactory decider = {})
       : scenario(std::move(of)),
         runtime(scenario.seed),
         trace(&runtime),
         edges(&runtime, &log, std::move(decider)),
         day(scenario, &runtime, &trace, &edges, "") {
-    trace.SetSink([this](const TraceRecord& record) {
-      rules.Take(record);
-      if (also) also(record);
+    trace.SetRecordHandler([this](const TraceRecord& record) {
+      rules.ProcessRecord(record);
+      if (on_record) on_record(record);
     });
-    day.Begin([this] { over = true; });
+    day.Start([this] { over = true; });
   }
-  void Play() {
+  // Runs until the scenario is complete, then checks the rules and creates the report.
+  void Run() {
     while (!over && runtime.Step()) {
     }
     rules.Finish();
@@ -96,11 +98,11 @@
   Scenario scenario;
   sim::VirtualRuntime runtime;
   Trace trace;
-  QuietLog log;
+  ErrorLog log;
   InProcessEdges edges;
   Day day;
   RuleChecker rules;
-  std::function<void(const TraceRecord&)> also;  // who else hears of each record
+  std::function<void(const TraceRecord&)> on_record;  // additional receiver of the trace records
   DayReport report;
   bool over = false;
 };
--- /dev/null
+++ b/src/platform/exchange_connections.h
@@ -0,0 +1,209 @@
+// Connections to the exchanges of the directory, with the set-ups and releases sent on them.
+//
+// A set-up gets a connection of its own while the connection limit allows it, because everything on a shared connection
+// is lost together with it. After the answer, the connection is used for the next set-up. A connection to every
+// exchange of the directory is kept open, so that its group reports and the releases of its calls can be received.
+#ifndef CROFTRUN_PLATFORM_EXCHANGE_CONNECTIONS_H_
+#define CROFTRUN_PLATFORM_EXCHANGE_CONNECTIONS_H_
+
+#include <cstdint>
+#include <list>
+#include <map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "core/call_core.h"
+#include "core/runtime.h"
+#include "platform/group_report.h"
+#include "platform/line_codec.h"
+#include "platform/node_config.h"
+#include "platform/recent_names.h"
+#include "policy/failure_detector.h"
+
+namespace croftrun::platform {
+
+// Settings of the connections to the exchanges.
+struct ExchangeSettings {
+  std::size_t max_connections = 100;  // limit for all exchanges together
+  TimeUs connect_timeout_us = 500'000;
+  std::vector<std::string> classes;  // names by class index
+  std::vector<std::string> zones, kinds;
+  std::vector<std::string> report_fields;  // names of the fields of a report, in the order of Settings::report_fields
+  std::int64_t unix_offset_us = 0;         // Unix time minus the time of the runtime's clock
+  bool may_probe = false;                  // the deployment allows probes of exchanges
+  bool own_circuits = true;                // reports count only the circuits towards this softswitch
+};
+
+// Counters of the connections to the exchanges, as shown in the metrics.
+struct ExchangeCounters {
+  std::uint64_t set_ups = 0, shared = 0, answers = 0, refusals = 0, errors = 0, resets = 0, never_ran = 0, given_up = 0;
+  std::uint64_t ended = 0, cut = 0, cut_with_exchange = 0, released = 0;
+  std::uint64_t connects = 0, refused = 0, timed_out = 0, broken = 0, spoilt = 0;
+  std::uint64_t lost_exchanges = 0;  // times that calls were terminated because of their exchange
+  std::uint64_t liveness_connects = 0, liveness_probes = 0;  // requested by the failure detector
+  std::uint64_t suspicions = 0, suspicions_cleared = 0;      // suspicions that the process with the calls was replaced
+  std::uint64_t given_up_silent = 0, given_up_replaced = 0;  // decisions of the failure detector to give up calls
+  std::uint64_t no_room = 0;                                 // connections not opened because of the limit
+  std::uint64_t early_ends = 0;                              // releases received before their call was adopted
+  std::uint64_t reports = 0, changed_reports = 0, second_answers = 0, unknown_answers = 0, late_answers = 0,
+                unknown_ends = 0;
+};
+
+// Carries the trunk side of the core: set-ups, releases and probes over connections to the exchanges. It also applies
+// the directory and gives up the calls at failed exchanges.
+class ExchangeConnections final : public core::TrunkDriver {
+ public:
+  ExchangeConnections(const ExchangeSettings& settings, core::Runtime* runtime, core::Logger* log,
+                      core::CallCore* core);
+  ~ExchangeConnections() override;
+
+  // Applies a directory notification to the exchanges here and to the directory of the core.
+  void OnDirectoryNotification(const DirectoryNotification& notification);
+  // Returns the exchange with this uid, or 0 if the directory has none or it has been removed from the directory.
+  ExchangeId Find(const std::string& uid) const;
+  std::size_t connection_count() const { return connection_count_; }
+  std::size_t call_leg_count() const { return call_legs_.size(); }
+  // Returns the number of exchanges, including removed ones that still have calls or connections.
+  std::size_t exchange_count() const { return exchanges_.size(); }
+  const ExchangeCounters& counters() const { return counters_; }
+  // Returns the number of exchanges in the directory without an open connection.
+  std::size_t unreachable_exchanges() const;
+  // Returns the number of established calls at exchanges without an open connection.
+  std::size_t calls_at_unreachable_exchanges() const;
+  // Returns the longest time since the last sign of life of an exchange with established calls, or 0 if there are no
+  // established calls.
+  TimeUs longest_silence() const;
+
+  // Sets the time by which suspicions are decided because the process shuts down, see policy::FailureDetector.
+  void SetDecisionDeadline(TimeUs at);
+
+  void SetUp(const core::TrunkSetUp& set_up) override;
+  void Release(const core::CircuitSet& set, const core::ReleaseInfo& info) override;
+  void ProbeExchange(ExchangeId exchange) override;
+  // Session descriptions are part of set-up and answer messages on the platform, so there is nothing to do here.
+  void Answer(const core::CircuitSet&, std::string_view) override {}
+  void Connect(const core::CircuitSet&, std::string_view) override {}
+  void ProbeGroup(int) override {}
+
+  // Adds a call that was adopted by the core, established at this exchange.
+  void AdoptCall(CallId call, const std::string& id, ExchangeId exchange_id);
+
+ private:
+  class Connection;
+  struct Exchange;
+  // The call leg to an exchange: a pending set-up or the established call that resulted from it.
+  struct CallLeg {
+    CallId call = 0;
+    int attempt = 0;
+    Exchange* exchange = nullptr;
+    Connection* connection = nullptr;  // null: the connection has been lost
+    bool is_established = false;
+    TimeUs established_at = 0;
+    std::string id;
+    bool announced = false;  // set up by a former process and announced by its caller
+    // Returns whether the call was established before `time`. An announced call may be of any age.
+    bool WasEstablishedBefore(TimeUs time) const { return announced || established_at < time; }
+  };
+
+  // Converts Unix time to the runtime's clock. The result is never 0, except for 0.
+  TimeUs ToRuntimeTime(std::int64_t unix_ms) const;
+  DirectoryEntry MakeDirectoryEntry(const Exchange& exchange) const;
+  // Returns whether a newer exchange has taken over the address that the notification gives for exchange `before`,
+  // which was known earlier (0: and has been forgotten since).
+  bool IsSuperseded(ExchangeId before, const Target& target, TimeUs since) const;
+  // Removes the call leg from all indexes.
+  CallLeg RemoveCallLeg(std::unordered_map<std::string, CallLeg>::iterator position);
+  Connection* SelectConnection(Exchange* exchange);
+  // Closes an idle connection to another exchange that has more than one, to stay within the limit. Returns false if
+  // there is none.
+  bool CloseIdleConnectionElsewhere(const Exchange* wanted);
+  // Closes one idle connection to the exchange if it has more than kKeptIdleConnections.
+  void CloseSurplusConnection(Exchange* exchange);
+  // Returns the newest open connection, or null if there is none.
+  static Connection* NewestOpenConnection(const Exchange& exchange);
+  // Purpose of a new connection.
+  enum class Purpose : std::uint8_t {
+    kSetUp,          // only within the limit
+    kKeepConnected,  // closes an idle connection elsewhere if needed, as nothing is received without a connection
+    kSignOfLife,     // likewise, with a reserve beyond the limit and a longer timeout
+  };
+  // Returns whether data was received recently on a connection that is open at both ends.
+  bool IsKnownAlive(const Exchange& exchange) const;
+  // Returns null if the limit has been reached.
+  Connection* OpenConnection(Exchange* exchange, Purpose purpose);
+  // Starts the periodic timer that queries the failure detector of each exchange with established calls.
+  void StartLivenessTimer();
+  void ExecuteLivenessAction(Exchange* exchange, policy::LivenessAction action);
+  // Passes the last report, received on `connection`, to the failure detector.
+  void CheckCircuitReport(const Connection& connection);
+  // Compares the last report with the established calls; those established before the given time are in question.
+  policy::CircuitUse ComputeCircuitUse(const Exchange& exchange, TimeUs established_before) const;
+  // Terminates the announced calls if the last report of the exchange denies them.
+  void CheckAnnouncedCalls(Exchange* exchange);
+  void RecordEstablishedCall(Exchange* exchange, const std::string& id);
+  void LogSuspicionChange(const Exchange& exchange, bool was_suspected);
+  // Opens a connection to the exchange if it has none, after the reconnect delay.
+  void EnsureConnected(Exchange* exchange);
+  // Returns false if the connection has to be closed.
+  bool HandleLine(Connection* connection, std::string_view line);
+  void HandleRelease(Connection* connection, const Message& message);
+  void HandleAnswer(Connection* connection, const Message& message);
+  void HandleGroupReport(Connection* connection, const Message& message);
+  // Why a connection ended.
+  enum class DisconnectReason : std::uint8_t { kClosed, kReset, kRefused, kConnectTimeout, kMalformed, kClosedLocally };
+  static std::string_view NameOf(DisconnectReason reason);
+  // Removes the connection. Its pending set-ups were not sent if it was never open; otherwise they may have been
+  // received.
+  void EndConnection(Connection* connection, DisconnectReason reason);
+  void NotifyDetector(const Connection& connection, DisconnectReason reason);
+  // Whether terminated calls may still exist at the exchange, so that a release has to be sent.
+  enum class RemoteState : std::uint8_t { kCallsGone, kCallsMayExist };
+  // Terminates the calls at the exchange that were established before `before`.
+  void TerminateCallsBefore(Exchange* exchange, TimeUs before, std::string_view why,
+                            RemoteState remote_state = RemoteState::kCallsGone);
+  // Terminates the given calls.
+  void TerminateCalls(Exchange* exchange, std::vector<std::string> ids, std::string_view why, RemoteState remote_state);
+  // Terminates the calls that the current process of the exchange does not know, as decided by the failure detector.
+  void GiveUpSuspectedCalls(Exchange* exchange, std::string_view why, RemoteState remote_state);
+  void SendProbe(Connection* connection);
+  // Sends a probe for the failure detector. Does nothing if `connection` is null.
+  void SendLivenessProbe(Connection* connection);
+  // Selects among the connections of the process that holds the calls. Returns null if none is open.
+  static Connection* LeastRecentlyProbed(const Exchange& exchange);
+  void RetireExchange(Exchange* exchange);
+  void SendRelease(Exchange* exchange, Connection* connection, const std::string& id);
+  // The log lines name the exchange, its address and the number of the connection, if there is one.
+  void LogConnection(core::LogLevel level, std::string_view event, const Connection& connection,
+                     std::string_view detail);
+  void LogCall(std::string_view event, const CallLeg& leg, std::string_view detail);
+
+  ExchangeSettings settings_;
+  core::Runtime* runtime_;
+  core::Logger* log_;
+  core::CallCore* core_;
+  GroupReportReader report_reader_;
+  std::map<ExchangeId, std::unique_ptr<Exchange>> exchanges_;
+  std::unordered_map<std::string, ExchangeId> by_uid_;
+  std::map<core::Address, ExchangeId> by_address_;  // the exchange that currently has the address
+  ExchangeId next_exchange_id_ = 1;
+  std::size_t connection_count_ = 0;
+  std::uint64_t last_connection_number_ = 0;            // connections are numbered for the log
+  std::unordered_map<std::string, CallLeg> call_legs_;  // by call id
+  std::unordered_map<CallId, std::string> call_ids_;
+  RecentNames given_up_;             // ids of set-ups that were given up
+  RecentNames forgotten_exchanges_;  // uids of exchanges that were removed and forgotten
+  RecentNames early_releases_;       // ids of calls that were released before they were adopted
+  core::Timer liveness_timer_;
+  TimeUs decision_deadline_ = 0;  // 0: not shutting down
+  std::unordered_map<std::string, std::pair<ExchangeId, TimeUs>> probes_;
+  ExchangeCounters counters_;
+};
+
+}  // namespace croftrun::platform
+
+#endif  // CROFTRUN_PLATFORM_EXCHANGE_CONNECTIONS_H_
--- a/src/wire/settings_parser.cpp
+++ b/src/wire/settings_parser.cpp
@@ -13,8 +13,8 @@
 
 using Pairs = std::map<std::string, std::string, std::less<>>;
 
-[[noreturn]] void Bad(const std::string& key, std::string_view value) {
-  throw BadSetting("setting " + key + ": cannot read '" + std::string(value) + "'");
+[[noreturn]] void ThrowBadSetting(const std::string& key, std::string_view value) {
+  throw InvalidSetting("setting " + key + ": cannot read '" + std::string(value) + "'");
 }
 
 Pairs SplitLines(std::string_view text) {
@@ -43,7 +43,7 @@
 double ToNumber(const std::string& key, std::string_view value) {
   double number = 0.0;
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
-  if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number)) Bad(key, value);
+  if (error != std::errc() || end != value.data() + value.size() || !std::isfinite(number)) ThrowBadSetting(key, value);
   return number;
 }
 
@@ -62,27 +62,28 @@
     const auto* value = Find(key);
     if (value == nullptr) return;
     const double number = ToNumber(key, *value);
-    if (number < 0.0 || number > 1e15) Bad(key, *value);
+    if (number < 0.0 || number > 1e15) ThrowBadSetting(key, *value);
     *out = static_cast<TimeUs>(number);
   }
   void Int(const std::string& key, int* out) const {
     const auto* value = Find(key);
     if (value == nullptr) return;
     const double number = ToNumber(key, *value);
-    if (std::fabs(number) > std::numeric_limits<int>::max()) Bad(key, *value);
+    if (std::fabs(number) > std::numeric_limits<int>::max()) ThrowBadSetting(key, *value);
     *out = static_cast<int>(number);
   }
   void Bool(const std::string& key, bool* out) const {
     const auto* value = Find(key);
     if (value == nullptr) return;
-    if (*value != "true" && *value != "false") Bad(key, *value);
+    if (*value != "true" && *value != "false") ThrowBadSetting(key, *value);
     *out = *value == "true";
   }
-  // The length of a list of objects; a list is bounded by the number of pairs that could describe it.
+  // Reads the length of a list of objects, which must not exceed the number of key-value pairs.
   int Count(const std::string& key) const {
     int count = 0;
     Int(key + ".count", &count);
-    if (count < 0 || static_cast<std::size_t>(count) > pairs_.size()) Bad(key + ".count", std::to_string(count));
+    if (count < 0 || static_cast<std::size_t>(count) > pairs_.size())
+      ThrowBadSetting(key + ".count", std::to_string(count));
     return count;
   }
   template <typename T>
@@ -90,7 +91,7 @@
     const auto* value = Find(key);
     if (value == nullptr) return;
     const auto found = choices.find(*value);
-    if (found == choices.end()) Bad(key, *value);
+    if (found == choices.end()) ThrowBadSetting(key, *value);
     *out = found->second;
   }
 
@@ -98,15 +99,16 @@
   Pairs pairs_;
 };
 
-// The pools of each class come as a list of lists: one key a class, or one value that joins them.
+// Reads the pools of a class. They are given either by one key per class or by one comma-separated list for all
+// classes.
 void ReadPools(const Reader& reader, std::size_t index, CallClass* call_class) {
   const std::string key = "family_info.class_cells";
-  const std::string own_key = key + "." + std::to_string(index);
+  const std::string class_key = key + "." + std::to_string(index);
   std::string_view list;
-  if (const auto* own = reader.Find(own_key)) {
-    list = *own;
-  } else if (const auto* joined = reader.Find(key)) {
-    const auto lists = SplitOn(*joined, ',');
+  if (const auto* class_value = reader.Find(class_key)) {
+    list = *class_value;
+  } else if (const auto* all_classes = reader.Find(key)) {
+    const auto lists = SplitOn(*all_classes, ',');
     if (index < lists.size()) list = lists[index];
   }
   std::string text(list);
@@ -115,8 +117,8 @@
   }
   for (const auto item : SplitOn(text, ' ')) {
     if (item.empty()) continue;
-    if (item.size() > 6) Bad(own_key, item);
-    call_class->pools.push_back(static_cast<int>(ToNumber(own_key, item)));
+    if (item.size() > 6) ThrowBadSetting(class_key, item);
+    call_class->pools.push_back(static_cast<int>(ToNumber(class_key, item)));
   }
 }
 
@@ -125,40 +127,43 @@
 Settings ParseSettings(std::string_view text) {
   const Reader reader(text);
   Settings s;
-  reader.Choice<Shape>("family_info.shape", {{"meshed", Shape::kMeshed}, {"groups", Shape::kGroups}}, &s.shape);
-  reader.Choice<Discovery>("discovery", {{"automatic", Discovery::kAutomatic}, {"subscribe", Discovery::kSubscribe}},
-                           &s.discovery);
+  reader.Choice<Topology>("family_info.shape", {{"meshed", Topology::kMeshed}, {"groups", Topology::kPools}},
+                          &s.topology);
+  reader.Choice<DiscoveryMode>("discovery",
+                               {{"automatic", DiscoveryMode::kAutomatic}, {"subscribe", DiscoveryMode::kSubscribe}},
+                               &s.discovery_mode);
   reader.Int("family_info.home_no", &s.own_number);
   reader.Int("my_zone", &s.own_zone);
-  reader.Int("balancers", &s.senders);
+  reader.Int("balancers", &s.softswitch_count);
   reader.Number("over_share_worth", &s.over_quota_worth);
-  reader.Time("family_info.release_us", &s.release_us);
-  reader.Time("family_info.repeat_us", &s.repeat_us);
-  reader.Bool("family_info.route_advice", &s.route_advice);
-  reader.Bool("family_info.tells_wait", &s.tells_wait);
+  reader.Time("family_info.release_us", &s.resend_guard_us);
+  reader.Time("family_info.repeat_us", &s.retransmit_interval_us);
+  reader.Bool("family_info.route_advice", &s.provides_route_advice);
+  reader.Bool("family_info.tells_wait", &s.reports_wait_time);
   reader.Time("contract.drain_grace_us", &s.drain_grace_us);
-  reader.Number("contract.cold_from", &s.cold_from);
+  reader.Number("contract.cold_from", &s.warm_up_start_share);
   reader.Time("contract.warm_up_us", &s.warm_up_us);
-  reader.Number("contract.fall_multiple", &s.fall_multiple);
-  reader.Time("contract.fall_us", &s.fall_us);
-  reader.Time("contract.ask_within_us", &s.ask_within_us);
-  reader.Int("allowed.most_tries", &s.most_attempts);
-  int most_held = static_cast<int>(s.most_held);
-  reader.Int("allowed.most_held", &most_held);
-  s.most_held = static_cast<std::uint32_t>(most_held > 0 ? most_held : 0);
+  reader.Number("contract.fall_multiple", &s.collapse_multiple);
+  reader.Time("contract.fall_us", &s.collapse_time_us);
+  reader.Time("contract.ask_within_us", &s.keep_alive_us);
+  reader.Int("allowed.most_tries", &s.max_attempts);
+  int max_calls = static_cast<int>(s.max_calls);
+  reader.Int("allowed.most_held", &max_calls);
+  s.max_calls = static_cast<std::uint32_t>(max_calls > 0 ? max_calls : 0);
   reader.Bool("allowed.may_cancel", &s.may_cancel);
   reader.Bool("allowed.probes", &s.may_probe);
-  reader.Bool("allowed.peers", &s.may_tell_peers);
+  reader.Bool("allowed.peers", &s.may_notify_peers);
   reader.Bool("allowed.may_duplicate", &s.may_duplicate);
-  reader.Bool("allowed.retry_after", &s.honours_pause);
-  reader.Time("allowed.max_retry_after_us", &s.longest_pause_us);
+  reader.Bool("allowed.retry_after", &s.honours_retry_after);
+  reader.Time("allowed.max_retry_after_us", &s.max_retry_after_us);
   reader.Bool("clients.marks_retry", &s.marks_redials);
 
   if (const auto* fields = reader.Find("report.fields")) {
     static const std::map<std::string_view, ReportField> kFields = {
-        {"spare", ReportField::kSpare},     {"total", ReportField::kTotal},        {"busy_reqs", ReportField::kBusy},
-        {"pending", ReportField::kPending}, {"cpu_share", ReportField::kCpuShare}, {"svc_ms", ReportField::kWaitMs},
-        {"allowed", ReportField::kAllowed}, {"cut_by", ReportField::kCutBy}};
+        {"spare", ReportField::kFreeCircuits},    {"total", ReportField::kTotalCircuits},
+        {"busy_reqs", ReportField::kBusyWorkers}, {"pending", ReportField::kPendingSetUps},
+        {"cpu_share", ReportField::kCpuShare},    {"svc_ms", ReportField::kWaitMs},
+        {"allowed", ReportField::kAllowedRate},   {"cut_by", ReportField::kLoadReduction}};
     for (const auto name : SplitOn(*fields, ',')) {
       const auto found = kFields.find(name);
       s.report_fields.push_back(found == kFields.end() ? ReportField::kUnknown : found->second);
@@ -175,23 +180,24 @@
     const auto index = static_cast<std::size_t>(i);
     CallClass c;
     if (const auto* name = reader.Find(key + "name")) c.name = *name;
-    reader.Choice<Repeat>(key + "repeat",
-                          {{"idempotent", Repeat::kIdempotent},
-                           {"deduplicated", Repeat::kDeduplicated},
-                           {"at_most_once", Repeat::kAtMostOnce}},
-                          &c.repeat);
-    reader.Choice<RepeatGroup>(
-        key + "group", {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kNumber}},
-        &c.group);
-    reader.Time(key + "window_us", &c.window_us);
-    reader.Time(key + "slo_us", &c.aim_us);
+    reader.Choice<RetrySemantics>(key + "repeat",
+                                  {{"idempotent", RetrySemantics::kIdempotent},
+                                   {"deduplicated", RetrySemantics::kDeduplicated},
+                                   {"at_most_once", RetrySemantics::kAtMostOnce}},
+                                  &c.retry_semantics);
+    reader.Choice<DeduplicationScope>(
+        key + "group",
+        {{"all", DeduplicationScope::kAll}, {"zone", DeduplicationScope::kZone}, {"cell", DeduplicationScope::kNumber}},
+        &c.deduplication_scope);
+    reader.Time(key + "window_us", &c.deduplication_window_us);
+    reader.Time(key + "slo_us", &c.target_delay_us);
     reader.Time(key + "hard_limit_us", &c.deadline_us);
     reader.Number(key + "worth", &c.worth);
     reader.Number(key + "late_worth", &c.late_worth);
     if (index < widths.size()) c.width = ToNumber("family_info.widths", widths[index]);
     if (index < holdings.size()) {
       const double holding = ToNumber("family_info.holding_us", holdings[index]);
-      if (holding < 0.0 || holding > 1e15) Bad("family_info.holding_us", holdings[index]);
+      if (holding < 0.0 || holding > 1e15) ThrowBadSetting("family_info.holding_us", holdings[index]);
       c.holding_us = static_cast<TimeUs>(holding);
     }
     ReadPools(reader, index, &c);
